--- a/src/cassiaturn/bench/_shared_variants.py
+++ b/src/cassiaturn/bench/_shared_variants.py
@@ -195,7 +195,7 @@
     fitting = [
         target
         for target in index.targets
-        if target.has(group.resources) and is_usable(target)
+        if target.has_free(group.resources) and is_usable(target)
     ]
     return min(fitting, key=lambda target: target.used_cpu_millis, default=None)
 
--- a/src/cassiaturn/bench/tests/test_shared.py
+++ b/src/cassiaturn/bench/tests/test_shared.py
@@ -181,7 +181,7 @@
     for name, target in play.targets.items():
         row = play.tables.targets_by_id[name]
         for _ in range(200):
-            row.pace.observe(1.0 / target.speed)
+            row.speed.observe(1.0 / target.speed)
         row.note_change()
 
 
--- a/src/cassiaturn/fleet/_desk.py
+++ b/src/cassiaturn/fleet/_desk.py
@@ -9,10 +9,10 @@
 from cassiaturn.entities import JobRequest, Route
 from cassiaturn.observability import Event, FleetMetrics, log_event
 from cassiaturn.sharing import (
-    hand_back_at,
     is_shed,
     longest_chain_s,
     spread_retry_after,
+    stuck_job_deadline,
 )
 from cassiaturn.workload import Outcome, Verdict, unserved_feature
 
@@ -346,7 +346,7 @@
         successor that every target obeys knows from their lists what runs. Given up at
         once, all that was under way would be lost.
         """
-        kept_until = hand_back_at(
+        kept_until = stuck_job_deadline(
             stuck_since=max(self._leaderless_since, job.arrived_at),
             limit_at=job.limit_at,
             expected_run_s=job.declared_run_s,
--- a/src/cassiaturn/fleet/_leader.py
+++ b/src/cassiaturn/fleet/_leader.py
@@ -22,7 +22,7 @@
 from cassiaturn.fleet._routing import RoutingKeeper
 from cassiaturn.fleet._watch import Watch
 from cassiaturn.observability import Event, FleetMetrics, log_event
-from cassiaturn.sharing import Lateness, LoadShedder, SpareTime
+from cassiaturn.sharing import CpuHeadroom, Lateness, LoadShedder
 from cassiaturn.workload import (
     Job,
     Outcome,
@@ -128,7 +128,7 @@
             on_news=self._dispatch_soon,
         )
         self._shedder = LoadShedder()
-        self._spare_time = SpareTime()
+        self._spare_time = CpuHeadroom()
         self._tasks: list[asyncio.Task[None]] = []
         self._dispatch_due = False
         self._behind_since = 0.0
@@ -168,7 +168,7 @@
     @property
     def asks_first(self) -> bool:
         """Whether members should have their new jobs wait for a confirmation."""
-        return self._spare_time.is_there
+        return self._spare_time.is_available
 
     @property
     def heard_targets(self) -> int:
--- a/src/cassiaturn/fleet/tests/test_desk.py
+++ b/src/cassiaturn/fleet/tests/test_desk.py
@@ -9,7 +9,7 @@
 from cassiaturn.fleet import _desk
 from cassiaturn.fleet._desk import JobDesk, OpenJob
 from cassiaturn.observability import FleetMetrics
-from cassiaturn.sharing import _standstill
+from cassiaturn.sharing import _stuck_job
 from cassiaturn.standins.virtual_targets import ROUTE
 from cassiaturn.workload import Outcome, Verdict
 
@@ -89,7 +89,7 @@
     is_confirmed: bool, verdict: Verdict, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A caller was told that its job did not run, and the job ran."""
-    monkeypatch.setattr(_standstill, "PATIENCE_S", 0.01)
+    monkeypatch.setattr(_stuck_job, "STUCK_JOB_WAIT_S", 0.01)
     leader = _Leader()
     desk = _desk_of(leader)
     waiting = await _submitted(desk)
@@ -138,7 +138,7 @@
     limit_s: float, is_kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A member that was cut off kept jobs that other members could have served."""
-    monkeypatch.setattr(_standstill, "PATIENCE_S", 0.1)
+    monkeypatch.setattr(_stuck_job, "STUCK_JOB_WAIT_S", 0.1)
     monkeypatch.setattr(_desk, "RECONNECT_WAIT_S", 0.1)
     leader, following = _Leader(), _Leader()
     desk = _desk_of(leader)
--- a/src/cassiaturn/platform/tests/test_silent_leader.py
+++ b/src/cassiaturn/platform/tests/test_silent_leader.py
@@ -10,7 +10,7 @@
 from cassiaturn.fleet._leadership import next_leadership
 from cassiaturn.platform.tests.fleet import Fleet, RunningMember
 from cassiaturn.platform.tests.standin_store import LOOPBACK, Fault
-from cassiaturn.sharing import _spare_time
+from cassiaturn.sharing import _cpu_headroom
 
 JOB = "5c0e7a21d94b36f8"
 
@@ -74,8 +74,8 @@
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A job on its way to a leader that is gone waited for leases, and was given up."""
-    monkeypatch.setattr(_spare_time, "LATE_S", float("inf"))
-    monkeypatch.setattr(_spare_time, "BUSY_SHARE", float("inf"))
+    monkeypatch.setattr(_cpu_headroom, "LATE_S", float("inf"))
+    monkeypatch.setattr(_cpu_headroom, "BUSY_SHARE", float("inf"))
     follower = fleet.followers()[0]
     await fleet.until(lambda: follower.member.desk.waits_for_confirmation)
     fleet.runners[-1].silent = True
--- a/src/cassiaturn/policy/_targets.py
+++ b/src/cassiaturn/policy/_targets.py
@@ -16,13 +16,13 @@
 from cassiaturn.entities import RequestClass, Resources
 from cassiaturn.policy._queued_task import QueuedTask
 from cassiaturn.policy._settings import PlacementSettings
-from cassiaturn.sharing._room import Room
+from cassiaturn.sharing._target_resources import TargetResources
 
 _DEFAULT_SPARE = PlacementSettings().spare_share_by_class
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class TargetRow(Room):
+class TargetRow(TargetResources):
     """A target that this instance holds, with what is in use of it."""
 
     worker: str
@@ -66,12 +66,12 @@
             return False
         if self.methods is not None and task.method not in self.methods:
             return False
-        return self.has(task.resources)
+        return self.has_free(task.resources)
 
     def take(self, resources: Resources) -> None:
         """Count a task as started."""
         self.in_use += 1
-        self.occupy(resources)
+        self.add_usage(resources)
 
     def give_back(self, resources: Resources) -> None:
         """Count a task as over.
@@ -81,7 +81,7 @@
         if self.in_use <= 0:
             raise AssertionError(f"{self.target_id} gave back a slot it never took")
         self.in_use -= 1
-        self.vacate(resources)
+        self.remove_usage(resources)
 
 
 def choose_target(
--- a/src/cassiaturn/sharing/__init__.py
+++ b/src/cassiaturn/sharing/__init__.py
@@ -4,6 +4,7 @@
 decisions of the other deployment, on slots and tenants, are in `cassiaturn.policy`.
 """
 
+from cassiaturn.sharing._cpu_headroom import CpuHeadroom
 from cassiaturn.sharing._deadlines import Deadlines, job_deadlines, longest_chain_s
 from cassiaturn.sharing._due_order import (
     Lateness,
@@ -14,20 +15,20 @@
 )
 from cassiaturn.sharing._expected_runs import ExpectedRuns
 from cassiaturn.sharing._failed_target import failed_target_pause_s
+from cassiaturn.sharing._feasibility import Progress, latest_start
 from cassiaturn.sharing._job_queue import JobQueue, queue_key
-from cassiaturn.sharing._link_room import should_hand_over
-from cassiaturn.sharing._outlook import Progress, latest_start
-from cassiaturn.sharing._pace import Pace, needs_fast_target
-from cassiaturn.sharing._packing import GroupKey, SharedTarget, choose_shared
-from cassiaturn.sharing._room import Room
+from cassiaturn.sharing._link_capacity import should_hand_over
+from cassiaturn.sharing._packing import GroupKey, SharedTarget, choose_shared_target
 from cassiaturn.sharing._shedding import LoadShedder, is_shed
-from cassiaturn.sharing._spare_time import SpareTime
-from cassiaturn.sharing._speed_book import SpeedBook
-from cassiaturn.sharing._standstill import hand_back_at
+from cassiaturn.sharing._speed_estimate import SpeedEstimate, needs_fast_target
+from cassiaturn.sharing._speed_model import SpeedModel
+from cassiaturn.sharing._stuck_job import stuck_job_deadline
 from cassiaturn.sharing._target_index import TargetIndex
-from cassiaturn.sharing._transit import TransitDelay
+from cassiaturn.sharing._target_resources import TargetResources
+from cassiaturn.sharing._transit_delay import TransitDelay
 
 __all__ = [
+    "CpuHeadroom",
     "Deadlines",
     "ExpectedRuns",
     "GroupKey",
@@ -35,17 +36,15 @@
     "Lateness",
     "LoadShedder",
     "OrderKey",
-    "Pace",
     "Progress",
-    "Room",
     "SharedTarget",
-    "SpareTime",
-    "SpeedBook",
+    "SpeedEstimate",
+    "SpeedModel",
     "TargetIndex",
+    "TargetResources",
     "TransitDelay",
-    "choose_shared",
+    "choose_shared_target",
     "failed_target_pause_s",
-    "hand_back_at",
     "is_shed",
     "job_deadlines",
     "lateness_changes",
@@ -56,4 +55,5 @@
     "queue_key",
     "should_hand_over",
     "spread_retry_after",
+    "stuck_job_deadline",
 ]
--- a/src/cassiaturn/sharing/_spare_time.py
+++ b/src/cassiaturn/sharing/_cpu_headroom.py
@@ -22,7 +22,7 @@
 """Weight of the last timer's share: about the last four count, a fifth of a second."""
 
 
-class SpareTime:
+class CpuHeadroom:
     """Learns from timers of the event loop whether there is time to spare."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self._share = 0.0
 
     @property
-    def is_there(self) -> bool:
+    def is_available(self) -> bool:
         """Whether there is time to spare."""
         return self._in_time >= CALM_TIMERS
 
--- a/src/cassiaturn/sharing/_job_queue.py
+++ b/src/cassiaturn/sharing/_job_queue.py
@@ -23,7 +23,7 @@
     lateness_changes,
     order_key,
 )
-from cassiaturn.sharing._outlook import latest_start
+from cassiaturn.sharing._feasibility import latest_start
 
 MICROSECONDS = 1_000_000
 
--- a/src/cassiaturn/sharing/_packing.py
+++ b/src/cassiaturn/sharing/_packing.py
@@ -20,8 +20,8 @@
 from typing import NamedTuple, TypeVar
 
 from cassiaturn.entities import Resources, TaskGroup
-from cassiaturn.sharing._pace import Pace
-from cassiaturn.sharing._room import Room
+from cassiaturn.sharing._speed_estimate import SpeedEstimate
+from cassiaturn.sharing._target_resources import TargetResources
 
 SLOW_FACTOR = 1.8
 """Run time over the expected one from which a target counts as slow: speeds of
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class SharedTarget(Room):
+class SharedTarget(TargetResources):
     """A target whose worker several tasks share by what each takes."""
 
     labels: frozenset[str] = frozenset()
@@ -55,7 +55,7 @@
     slowness: float = 1.0
     """The last few run times over the expected ones; finds a sick target soon."""
 
-    pace: Pace = field(default_factory=Pace)
+    speed: SpeedEstimate = field(default_factory=SpeedEstimate)
     """Many run times over the expected ones; tells sound targets apart."""
 
     tasks_by_group: dict[GroupKey, int] = field(default_factory=dict)
@@ -74,13 +74,13 @@
         if self.changed is not None:
             self.changed.add(self)
 
-    def take(self, wanted: Resources, group: GroupKey) -> None:
+    def allocate(self, wanted: Resources, group: GroupKey) -> None:
         """Count a task as started here."""
-        self.occupy(wanted)
+        self.add_usage(wanted)
         self.note_change()
         self.tasks_by_group[group] = self.tasks_by_group.get(group, 0) + 1
 
-    def give_back(self, wanted: Resources, group: GroupKey) -> None:
+    def release(self, wanted: Resources, group: GroupKey) -> None:
         """Count a task as over.
 
         :raises AssertionError: none of its group was here; the table is broken.
@@ -92,14 +92,14 @@
             del self.tasks_by_group[group]
         else:
             self.tasks_by_group[group] = count - 1
-        self.vacate(wanted)
+        self.remove_usage(wanted)
         self.note_change()
 
 
 TargetT = TypeVar("TargetT", bound=SharedTarget)
 
 
-def choose_shared(
+def choose_shared_target(
     group: TaskGroup,
     group_key: GroupKey,
     targets: Iterable[TargetT],
@@ -122,17 +122,17 @@
     best_rank: tuple[bool, bool, bool, float, float, float] | None = None
     wanted = group.resources
     for target in targets:
-        if not target.has(wanted) or not _allowed(group, group_key, target):
+        if not target.has_free(wanted) or not _allowed(group, group_key, target):
             continue
         is_away = bool(preferred_domain) and target.failure_domain != preferred_domain
         rank = (
             target.target_id in avoided,
             target.is_slow,
             bool(group.preferred_rack) and group.preferred_rack not in target.labels,
-            target.pace.step + is_away if is_tight else 0,
+            target.speed.step + is_away if is_tight else 0,
             _left_over(target, wanted) + AWAY_COST * is_away,
             # The slower of two equal fits: the faster one stays free for what needs it.
-            -target.pace.step,
+            -target.speed.step,
         )
         if best_rank is None or rank < best_rank:
             best = target
--- a/src/cassiaturn/sharing/_pace.py
+++ b/src/cassiaturn/sharing/_speed_estimate.py
@@ -71,7 +71,7 @@
     return SpeedEffect(variance=SHARED_VARIANCE, floor=SHARED_VARIANCE_FLOOR)
 
 
-class Pace:
+class SpeedEstimate:
     """Run times of one target over the expected ones."""
 
     __slots__ = ("effects",)
--- a/src/cassiaturn/sharing/_speed_book.py
+++ b/src/cassiaturn/sharing/_speed_model.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Iterable, Sequence
 
-from cassiaturn.sharing._pace import (
+from cassiaturn.sharing._speed_estimate import (
     STEP,
-    Pace,
     SpeedEffect,
+    SpeedEstimate,
     clamped_log,
     shared_effect,
 )
@@ -36,7 +36,7 @@
 """By how much a shared effect has to move before all targets are looked at again."""
 
 
-class SpeedBook:
+class SpeedModel:
     """What is known of the speeds of one service's targets."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         self._between = BETWEEN_VARIANCE
         self._told_by_label: dict[str, float] = {}
 
-    def pace_for(self, labels: Iterable[str]) -> Pace:
+    def new_estimate(self, labels: Iterable[str]) -> SpeedEstimate:
         """Return the pace of a target that was not seen yet.
 
         :param labels: what it has in common with others.
@@ -56,16 +56,16 @@
             self._effects_by_label.setdefault(label, shared_effect())
             for label in sorted(labels)[:MOST_LABELS]
         ]
-        return Pace(shared=(self._all, *shared))
+        return SpeedEstimate(shared=(self._all, *shared))
 
-    def observe_job(self, runs: Sequence[tuple[Pace, float]]) -> None:
+    def observe_job(self, runs: Sequence[tuple[SpeedEstimate, float]]) -> None:
         """Take in the runs of a job's tasks.
 
         :param runs: the target's pace and the run's length over the expected one, of
             each task that ran once.
         """
         count = len(runs)
-        differences = [clamped_log(ratio) - pace.log_ratio for pace, ratio in runs]
+        differences = [clamped_log(ratio) - speed.log_ratio for speed, ratio in runs]
         mean = sum(differences) / count
         self._between = _followed(self._between, mean**2 - self._within / count)
         if count > 1:
@@ -74,12 +74,12 @@
             self._compare(runs, differences)
         # The error of the mean is the same for all tasks: together they count once.
         variance = count * self._between + self._within
-        for pace, _ in runs:
-            total = variance + pace.variance
-            for effect in pace.effects:
+        for speed, _ in runs:
+            total = variance + speed.variance
+            for effect in speed.effects:
                 effect.learn(mean, total)
 
-    def shared_moved(self) -> bool:
+    def shared_effects_changed(self) -> bool:
         """Return whether what targets have in common moved since this was last true."""
         means_by_label = {
             label: effect.mean for label, effect in self._effects_by_label.items()
@@ -93,16 +93,16 @@
         return moved
 
     def _compare(
-        self, runs: Sequence[tuple[Pace, float]], differences: Sequence[float]
+        self, runs: Sequence[tuple[SpeedEstimate, float]], differences: Sequence[float]
     ) -> None:
         """Set the tasks that ran where an effect is against the job's other tasks."""
         count = len(runs)
         total = sum(differences)
         here: dict[SpeedEffect, list[int]] = {}
-        for index, (pace, _) in enumerate(runs):
-            for effect in pace.effects:
+        for index, (speed, _) in enumerate(runs):
+            for effect in speed.effects:
                 here.setdefault(effect, []).append(index)
-        variances = [pace.variance for pace, _ in runs]
+        variances = [speed.variance for speed, _ in runs]
         learnt: list[tuple[SpeedEffect, float, float]] = []
         for effect, indexes in here.items():
             others = count - len(indexes)
--- a/src/cassiaturn/sharing/_standstill.py
+++ b/src/cassiaturn/sharing/_stuck_job.py
@@ -9,9 +9,9 @@
 to come back gains nothing by it, so its job waits for as long as it can be served.
 """
 
-from cassiaturn.sharing._outlook import latest_start
+from cassiaturn.sharing._feasibility import latest_start
 
-PATIENCE_S = 1.0
+STUCK_JOB_WAIT_S = 1.0
 """How long a job waits where nothing is done for it, in seconds: a successor of a
 silent leader is found in 0.5 to 0.8 s."""
 
@@ -20,7 +20,7 @@
 and when it is told to otherwise, in whole seconds."""
 
 
-def hand_back_at(
+def stuck_job_deadline(
     *, stuck_since: float, limit_at: float, expected_run_s: float, has_begun: bool
 ) -> float:
     """Return until when a job is kept that makes no progress, in seconds.
@@ -34,7 +34,7 @@
     start_by = latest_start(
         limit_at=limit_at, expected_run_s=expected_run_s, is_idle=True
     )
-    patient_until = stuck_since + PATIENCE_S
+    patient_until = stuck_since + STUCK_JOB_WAIT_S
     if patient_until + RETURN_S <= start_by:
         return patient_until
     return max(patient_until, limit_at if has_begun else start_by)
--- a/src/cassiaturn/sharing/_target_index.py
+++ b/src/cassiaturn/sharing/_target_index.py
@@ -18,7 +18,7 @@
     AWAY_COST,
     GroupKey,
     SharedTarget,
-    choose_shared,
+    choose_shared_target,
 )
 
 TargetT = TypeVar("TargetT", bound=SharedTarget)
@@ -103,7 +103,7 @@
         is_tight: bool = False,
         preferred_domain: str = "",
     ) -> TargetT | None:
-        """Return the target that :func:`choose_shared` would choose.
+        """Return the target that :func:`choose_shared_target` would choose.
 
         :param is_usable: whether a target may take work now.
         :param preferred_domain: where the member of its caller runs; empty: not known.
@@ -150,7 +150,7 @@
         preferred_domain: str,
     ) -> TargetT | None:
         usable = (target for target in self.targets if is_usable(target))
-        return choose_shared(
+        return choose_shared_target(
             group,
             group_key,
             usable,
@@ -168,7 +168,7 @@
 
     def _insert(self, target: TargetT, number: int) -> None:
         total = target.capacity.cpu_millis
-        alike = _Class(target.is_slow, target.pace.step, total, target.failure_domain)
+        alike = _Class(target.is_slow, target.speed.step, total, target.failure_domain)
         row = _Row(total - target.used_cpu_millis, number, target)
         insort(self._rows_by_class.setdefault(alike, []), row)
         self._class_by_id[target.target_id] = alike
@@ -192,7 +192,7 @@
     begin = bisect_left(rows, (wanted.cpu_millis,))
     for place in range(begin, len(rows)):
         target = rows[place].target
-        if target.has(wanted) and is_usable(target):
+        if target.has_free(wanted) and is_usable(target):
             return rows[place]
     return None
 
--- a/src/cassiaturn/sharing/_room.py
+++ b/src/cassiaturn/sharing/_target_resources.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Room:
+class TargetResources:
     """Resources of a target, counted exactly by its holder."""
 
     target_id: str
@@ -28,7 +28,7 @@
     used_accelerators: int = 0
     """Accelerators taken by tasks."""
 
-    def has(self, wanted: Resources) -> bool:
+    def has_free(self, wanted: Resources) -> bool:
         """Return whether a task finds its resources free."""
         capacity = self.capacity
         return (
@@ -37,13 +37,13 @@
             and self.used_accelerators + wanted.accelerators <= capacity.accelerators
         )
 
-    def occupy(self, wanted: Resources) -> None:
+    def add_usage(self, wanted: Resources) -> None:
         """Count a task's resources as taken."""
         self.used_cpu_millis += wanted.cpu_millis
         self.used_memory_mib += wanted.memory_mib
         self.used_accelerators += wanted.accelerators
 
-    def vacate(self, wanted: Resources) -> None:
+    def remove_usage(self, wanted: Resources) -> None:
         """Count a task's resources as free again."""
         self.used_cpu_millis -= wanted.cpu_millis
         self.used_memory_mib -= wanted.memory_mib
--- a/src/cassiaturn/sharing/tests/test_deadlines.py
+++ b/src/cassiaturn/sharing/tests/test_deadlines.py
@@ -6,10 +6,10 @@
 from cassiaturn.sharing import (
     Deadlines,
     Lateness,
-    hand_back_at,
     job_deadlines,
     longest_chain_s,
     order_key,
+    stuck_job_deadline,
 )
 
 ROUTE = Route(
@@ -84,7 +84,7 @@
     limit_at: float, has_begun: bool, kept_until: float
 ) -> None:
     """Jobs were refused half a second before the next leader, to callers in a hurry."""
-    found = hand_back_at(
+    found = stuck_job_deadline(
         stuck_since=1.0, limit_at=limit_at, expected_run_s=0.2, has_begun=has_begun
     )
     assert found == pytest.approx(kept_until)
--- a/src/cassiaturn/sharing/tests/test_job_timing.py
+++ b/src/cassiaturn/sharing/tests/test_job_timing.py
@@ -8,8 +8,8 @@
 from cassiaturn.sharing import (
     Deadlines,
     ExpectedRuns,
-    Pace,
     Progress,
+    SpeedEstimate,
     failed_target_pause_s,
     latest_start,
     needs_fast_target,
@@ -101,10 +101,10 @@
     rng = random.Random(7)
     steps = []
     for speed in (0.8, 1.0, 1.25):
-        pace = Pace()
+        estimate = SpeedEstimate()
         for _ in range(100):
-            pace.observe(rng.lognormvariate(0.0, 0.3) / speed)
-        steps.append(pace.step)
+            estimate.observe(rng.lognormvariate(0.0, 0.3) / speed)
+        steps.append(estimate.step)
     assert steps == sorted(steps, reverse=True)
     assert steps[0] - steps[2] >= 3
 
@@ -117,7 +117,7 @@
     told = 0
     for seed in range(200):
         rng = random.Random(seed)
-        usual, slow = Pace(), Pace()
+        usual, slow = SpeedEstimate(), SpeedEstimate()
         for _ in range(6):
             usual.observe(rng.lognormvariate(0.0, 0.3))
             slow.observe(rng.lognormvariate(0.0, 0.3) * 1.3)
--- a/src/cassiaturn/sharing/tests/test_packing.py
+++ b/src/cassiaturn/sharing/tests/test_packing.py
@@ -1,7 +1,7 @@
 import pytest
 
 from cassiaturn.entities import Resources, TaskGroup
-from cassiaturn.sharing import GroupKey, SharedTarget, choose_shared
+from cassiaturn.sharing import GroupKey, SharedTarget, choose_shared_target
 
 KEY = GroupKey("a", 0, 0)
 
@@ -30,7 +30,7 @@
 
 
 def _chosen(group: TaskGroup, *targets: SharedTarget, **options: object) -> str | None:
-    target = choose_shared(group, KEY, targets, **options)  # type: ignore[arg-type]
+    target = choose_shared_target(group, KEY, targets, **options)  # type: ignore[arg-type]
     return target.target_id if target is not None else None
 
 
@@ -53,9 +53,9 @@
     placed = 0
     for cpu in (5_000, 5_000, 5_000, 9_000, 9_000, 9_000):
         group = _group(cpu)
-        target = choose_shared(group, KEY, targets)
+        target = choose_shared_target(group, KEY, targets)
         if target is not None:
-            target.take(group.resources, KEY)
+            target.allocate(group.resources, KEY)
             placed += 1
     assert placed == 6
 
@@ -89,8 +89,8 @@
 def test_tight_tasks_go_to_fast_targets_and_others_to_slow_ones() -> None:
     fast, usual = _target("fast", 16_000), _target("usual", 16_000)
     for _ in range(100):
-        fast.pace.observe(0.8)
-        usual.pace.observe(1.2)
+        fast.speed.observe(0.8)
+        usual.speed.observe(1.2)
     assert _chosen(_group(), fast, usual, is_tight=True) == "fast"
     assert _chosen(_group(), fast, usual) == "usual"
 
@@ -118,10 +118,10 @@
     home = _target("home", 16_000, failure_domain="h")
     away = _target("away", 16_000, failure_domain="e")
     for _ in range(100):
-        away.pace.observe(0.7)
+        away.speed.observe(0.7)
     assert _chosen(_group(), home, away, is_tight=True, preferred_domain="h") == "away"
 
 
 def test_giving_back_what_was_never_taken_is_a_fault() -> None:
     with pytest.raises(AssertionError, match="never began"):
-        _target("t", 16_000).give_back(Resources(cpu_millis=1), KEY)
+        _target("t", 16_000).release(Resources(cpu_millis=1), KEY)
--- a/src/cassiaturn/sharing/tests/test_slow_leader.py
+++ b/src/cassiaturn/sharing/tests/test_slow_leader.py
@@ -107,7 +107,7 @@
     in_aim: int = 0
     counted: int = 0
     _queue: JobQueue[_Job] = field(default_factory=JobQueue)
-    _transit: TransitDelay = field(default_factory=TransitDelay)
+    _transit_delay: TransitDelay = field(default_factory=TransitDelay)
     _shedder: LoadShedder = field(default_factory=LoadShedder)
     _behind_since: float | None = None
 
@@ -146,7 +146,9 @@
         ):
             return
         self.now += READ_S
-        unread_s = self._transit.observe(job.arrived_at + CLOCK_OFFSET_S, self.now)
+        unread_s = self._transit_delay.observe(
+            job.arrived_at + CLOCK_OFFSET_S, self.now
+        )
         if not self.knows_waits:
             unread_s = 0.0
         limit_s = job.deadlines.limit_at - job.arrived_at
--- a/src/cassiaturn/sharing/tests/test_target_index.py
+++ b/src/cassiaturn/sharing/tests/test_target_index.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from cassiaturn.entities import Resources, TaskGroup
-from cassiaturn.sharing import GroupKey, SharedTarget, TargetIndex, choose_shared
+from cassiaturn.sharing import GroupKey, SharedTarget, TargetIndex, choose_shared_target
 
 KEY = GroupKey("a", 0, 0)
 
@@ -49,12 +49,12 @@
 
 def _change(target: SharedTarget, what: str) -> None:
     match what:
-        case "take" if target.has(TASK):
-            target.take(TASK, KEY)
+        case "take" if target.has_free(TASK):
+            target.allocate(TASK, KEY)
         case "give_back" if target.tasks_by_group:
-            target.give_back(TASK, KEY)
+            target.release(TASK, KEY)
         case "pace":
-            target.pace.observe(8.0)
+            target.speed.observe(8.0)
             target.note_change()
         case "slow":
             target.slowness = 3.5 - target.slowness
@@ -106,7 +106,7 @@
         avoided=avoided,
         is_tight=is_tight,
         preferred_domain=preferred_domain,
-    ) is choose_shared(
+    ) is choose_shared_target(
         group,
         KEY,
         usable,
--- a/src/cassiaturn/workload/_dispatch.py
+++ b/src/cassiaturn/workload/_dispatch.py
@@ -135,7 +135,7 @@
     task.take_run(run)
     job.waiting.remove(task)
     job.begun = True
-    target.take(task.group.resources, run.group_key)
+    target.allocate(task.group.resources, run.group_key)
     target.runs_by_ref[task.ref] = run
     tables.runs_by_ref[task.ref] = run
     tables.counters.starts += 1
--- a/src/cassiaturn/workload/_ends.py
+++ b/src/cassiaturn/workload/_ends.py
@@ -107,7 +107,7 @@
     if tables.runs_by_ref.get(run.ref) is run:
         del tables.runs_by_ref[run.ref]
     if run.group is not None:
-        target.give_back(run.group.resources, run.group_key)
+        target.release(run.group.resources, run.group_key)
 
 
 def _judge(
@@ -141,15 +141,15 @@
     ]
     if not runs:
         return
-    steps = [target.pace.step for target, _ in runs]
+    steps = [target.speed.step for target, _ in runs]
     tables.speeds_by_service[job.route.service].observe_job(
-        [(target.pace, ratio) for target, ratio in runs]
+        [(target.speed, ratio) for target, ratio in runs]
     )
     for step, (target, _) in zip(steps, runs, strict=True):
-        if target.pace.step != step:
+        if target.speed.step != step:
             target.note_change()
             ports.record(
-                Event.TARGET_SPEED, target=target.target_id, ratio=target.pace.ratio
+                Event.TARGET_SPEED, target=target.target_id, ratio=target.speed.ratio
             )
 
 
--- a/src/cassiaturn/workload/_intake.py
+++ b/src/cassiaturn/workload/_intake.py
@@ -281,4 +281,4 @@
     if run.group is None:
         run.group = task.group
         target = tables.targets_by_id[run.target_id]
-        target.take(task.group.resources, run.group_key)
+        target.allocate(task.group.resources, run.group_key)
--- a/src/cassiaturn/workload/_job_timing.py
+++ b/src/cassiaturn/workload/_job_timing.py
@@ -100,7 +100,7 @@
 def _fast_ratio(tables: Tables, service: str) -> float:
     """Return the run times of the service's fast targets over the expected ones."""
     ratios = sorted(
-        target.pace.ratio
+        target.speed.ratio
         for target in tables.targets_by_id.values()
         if target.service == service and not target.silent
     )
@@ -133,4 +133,4 @@
         return 1.0
     # Runs on a target that is sick tell nothing of its pace.
     sick = target.slowness if target.is_slow else 1.0
-    return max(1.0, target.pace.ratio / fast, sick)
+    return max(1.0, target.speed.ratio / fast, sick)
--- a/src/cassiaturn/workload/_tables.py
+++ b/src/cassiaturn/workload/_tables.py
@@ -18,7 +18,7 @@
     GroupKey,
     JobQueue,
     SharedTarget,
-    SpeedBook,
+    SpeedModel,
     TargetIndex,
     needs_fast_target,
 )
@@ -409,7 +409,7 @@
     index_by_service: dict[str, TargetIndex[Target]] = field(default_factory=dict)
     """The targets of each service, by what they have free."""
 
-    speeds_by_service: dict[str, SpeedBook] = field(default_factory=dict)
+    speeds_by_service: dict[str, SpeedModel] = field(default_factory=dict)
     """What is known of the speeds of each service's targets."""
 
     runs_by_ref: dict[TaskRef, Run] = field(default_factory=dict)
@@ -449,8 +449,8 @@
     def add_target(self, target: Target) -> None:
         """Take a target in."""
         self.targets_by_id[target.target_id] = target
-        book = self.speeds_by_service.setdefault(target.service, SpeedBook())
-        target.pace = book.pace_for(target.labels)
+        book = self.speeds_by_service.setdefault(target.service, SpeedModel())
+        target.speed = book.new_estimate(target.labels)
         self.index_by_service.setdefault(target.service, TargetIndex()).add(target)
 
     def remove_target(self, target_id: str) -> None:
--- a/src/cassiaturn/workload/_tick.py
+++ b/src/cassiaturn/workload/_tick.py
@@ -1,7 +1,7 @@
 """What runs over the tables each tick: limits, stalls, stops, old entries."""
 
 from cassiaturn.observability import Event
-from cassiaturn.sharing import Lateness, hand_back_at, latest_start
+from cassiaturn.sharing import Lateness, latest_start, stuck_job_deadline
 from cassiaturn.workload._dispatch import dispatch, is_held, put_back
 from cassiaturn.workload._intake import refused
 from cassiaturn.workload._ports import Ports
@@ -37,7 +37,7 @@
     moved_services = {
         service
         for service, book in tables.speeds_by_service.items()
-        if book.shared_moved()
+        if book.shared_effects_changed()
     }
     for target in tables.targets_by_id.values():
         was_slow = target.is_slow
@@ -107,7 +107,7 @@
             continue
         since = unreached.setdefault(service, now)
         for job in list(queue.in_order()):
-            kept_until = hand_back_at(
+            kept_until = stuck_job_deadline(
                 stuck_since=max(since, job.arrived_at),
                 limit_at=job.deadlines.limit_at,
                 expected_run_s=job.expected_run_s,
