--- a/src/cassiaturn/bench/_shared_variants.py
+++ b/src/cassiaturn/bench/_shared_variants.py
@@ -20,7 +20,7 @@
 )
 from cassiaturn.standins import virtual_targets
 from cassiaturn.workload import Job, Run, Tables, Target, dispatch
-from cassiaturn.workload._dispatch import put_back
+from cassiaturn.workload._dispatch import requeue_task
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._settle import stop
 from cassiaturn.workload._tables import RunState
@@ -155,7 +155,7 @@
     ]
     for run in sorted(young, key=lambda run: -run.started_at)[: len(urgent.waiting)]:
         stop(tables, ports, run, now)
-        put_back(tables, run.ref)
+        requeue_task(tables, run.ref)
     return left
 
 
--- a/src/cassiaturn/fleet/_desk.py
+++ b/src/cassiaturn/fleet/_desk.py
@@ -14,7 +14,7 @@
     longest_chain_s,
     spread_retry_after,
 )
-from cassiaturn.workload import Outcome, Verdict, unserved_feature
+from cassiaturn.workload import Outcome, Verdict, unsupported_feature
 
 RECONNECT_WAIT_S = 0.6
 """Least time that jobs are kept when a leader is lost, in seconds: a stream that was
@@ -170,7 +170,7 @@
         :param limit_s: how long its caller waits, in seconds; None: not told.
         :param waited_s: how long it has waited already, in seconds.
         """
-        unserved = unserved_feature(request, route)
+        unserved = unsupported_feature(request, route)
         if unserved is not None:
             return self._refuse(request, route, unserved, 0.0)
         job = self._jobs_by_id.get(request.job_id)
--- a/src/cassiaturn/fleet/_held_targets.py
+++ b/src/cassiaturn/fleet/_held_targets.py
@@ -135,7 +135,7 @@
         changed = self._directory.put(report)
         report = self.reports_by_id[target_id]
         if self._is_configured(report):
-            workload.on_target(self._tables, self._orders, report)
+            workload.on_target_report(self._tables, self._orders, report)
             if target_id not in self._links_by_id:
                 self._open_link(report)
         elif changed:
--- a/src/cassiaturn/fleet/_leader.py
+++ b/src/cassiaturn/fleet/_leader.py
@@ -174,7 +174,7 @@
     def heard_targets(self) -> int:
         """Targets that have told what runs there, and answer."""
         targets = self._tables.targets_by_id.values()
-        return sum(target.heard and not target.silent for target in targets)
+        return sum(target.has_reported and not target.silent for target in targets)
 
     def open(self) -> None:
         """Take every known target and begin."""
--- a/src/cassiaturn/fleet/_target_link.py
+++ b/src/cassiaturn/fleet/_target_link.py
@@ -153,7 +153,7 @@
 
     def stop(self, run: Run) -> None:
         """Order a run to stop."""
-        is_uncertain = not run.settled
+        is_uncertain = not run.is_acknowledged
         self._spawn(self._stop(run.ref, run.number, is_uncertain))
 
     def tick(self, now: float) -> None:
--- a/src/cassiaturn/sharing/tests/test_slow_leader.py
+++ b/src/cassiaturn/sharing/tests/test_slow_leader.py
@@ -16,7 +16,7 @@
     job_deadlines,
     queue_key,
 )
-from cassiaturn.workload import MOST_STARTS
+from cassiaturn.workload import MAX_STARTS_PER_TURN
 
 READ_S = 0.0003
 """Processor time for reading a submission, in seconds."""
@@ -100,7 +100,7 @@
     pause_s: float = 0.0
     """How long it stands still from :data:`PAUSE_AT_S` on, in seconds."""
 
-    most_starts: float = MOST_STARTS // TASKS
+    most_starts: float = MAX_STARTS_PER_TURN // TASKS
     knows_waits: bool = True
 
     now: float = 0.0
--- a/src/cassiaturn/standins/virtual_targets.py
+++ b/src/cassiaturn/standins/virtual_targets.py
@@ -255,7 +255,7 @@
         capacity = Resources(cpu_millis=cpu, memory_mib=64_000)
         target = VirtualTarget(target_id=name, capacity=capacity, **traits)  # type: ignore[arg-type]
         self.targets[name] = target
-        workload.on_target(
+        workload.on_target_report(
             self.tables,
             self,
             TargetReport(
--- a/src/cassiaturn/workload/__init__.py
+++ b/src/cassiaturn/workload/__init__.py
@@ -8,13 +8,13 @@
 
 from cassiaturn.workload._backlog import backlog_s, usable_targets
 from cassiaturn.workload._directory import (
-    on_target,
     on_target_gone,
     on_target_lost,
+    on_target_report,
     on_target_silent,
     on_target_unanswered,
 )
-from cassiaturn.workload._dispatch import MOST_STARTS, dispatch
+from cassiaturn.workload._dispatch import MAX_STARTS_PER_TURN, dispatch
 from cassiaturn.workload._intake import (
     Submission,
     cancel,
@@ -28,7 +28,6 @@
     on_start_answer,
     on_stop_answer,
 )
-from cassiaturn.workload._served import unserved_feature
 from cassiaturn.workload._settings import WorkloadSettings, settings_for_lease
 from cassiaturn.workload._tables import (
     Counters,
@@ -42,11 +41,12 @@
     Verdict,
 )
 from cassiaturn.workload._tick import has_tight_runs, next_check, tick
+from cassiaturn.workload._unsupported_features import unsupported_feature
 
 __all__ = [
     "Counters",
     "Job",
-    "MOST_STARTS",
+    "MAX_STARTS_PER_TURN",
     "Outcome",
     "Ports",
     "Run",
@@ -68,7 +68,7 @@
     "on_member_gone",
     "on_start_answer",
     "on_stop_answer",
-    "on_target",
+    "on_target_report",
     "on_target_gone",
     "on_target_lost",
     "on_target_silent",
@@ -76,6 +76,6 @@
     "submit",
     "settings_for_lease",
     "tick",
-    "unserved_feature",
+    "unsupported_feature",
     "usable_targets",
 ]
--- a/src/cassiaturn/workload/_backlog.py
+++ b/src/cassiaturn/workload/_backlog.py
@@ -23,7 +23,7 @@
 
     def is_usable(target: Target) -> bool:
         return (
-            target.heard
+            target.has_reported
             and not target.leaving
             and not target.silent
             and target.paused_until <= now
--- a/src/cassiaturn/workload/_directory.py
+++ b/src/cassiaturn/workload/_directory.py
@@ -2,7 +2,7 @@
 
 from cassiaturn.entities import Resources, TargetReport
 from cassiaturn.observability import Event
-from cassiaturn.workload._dispatch import put_back
+from cassiaturn.workload._dispatch import requeue_task
 from cassiaturn.workload._ends import over
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._tables import (
@@ -14,7 +14,7 @@
 """Why a target is gone of which another process has answered: nothing runs on."""
 
 
-def on_target(tables: Tables, ports: Ports, report: TargetReport) -> None:
+def on_target_report(tables: Tables, ports: Ports, report: TargetReport) -> None:
     """Take in what a target publishes of itself."""
     target = tables.targets_by_id.get(report.target_id)
     if target is None:
@@ -103,7 +103,7 @@
         return
     target.silent = True
     # On the far side of a cut another leader may start tasks there from now on.
-    target.heard = False
+    target.has_reported = False
     for run in list(target.runs_by_ref.values()):
         tables.counters.lost_runs += 1
         ports.record(
@@ -115,4 +115,4 @@
             age_ms=round((now - run.started_at) * 1000),
         )
         over(tables, target, run)
-        put_back(tables, run.ref)
+        requeue_task(tables, run.ref)
--- a/src/cassiaturn/workload/_dispatch.py
+++ b/src/cassiaturn/workload/_dispatch.py
@@ -15,7 +15,7 @@
 from cassiaturn.workload._ports import Ports, StartOrder
 from cassiaturn.workload._tables import Job, Run, RunState, Tables, Target, Task
 
-MOST_STARTS = 32
+MAX_STARTS_PER_TURN = 32
 """Starts after which the rest of a service's queue is left for another turn: jobs that
 were handed in meanwhile, and may be more urgent, are read before it."""
 
@@ -54,7 +54,7 @@
     for job in queue.in_order():
         if free_cpu < queue.least_cpu_millis:
             return None
-        if all_started >= MOST_STARTS:
+        if all_started >= MAX_STARTS_PER_TURN:
             return job
         if job.least_cpu_millis > free_cpu or not _may_start(tables, job, now):
             continue
@@ -160,7 +160,7 @@
     )
 
 
-def put_back(tables: Tables, ref: TaskRef) -> None:
+def requeue_task(tables: Tables, ref: TaskRef) -> None:
     """Let a task whose run is over wait for another, if its job still stands."""
     job = tables.jobs_by_id.get(ref.job_id)
     if job is None:
--- a/src/cassiaturn/workload/_ends.py
+++ b/src/cassiaturn/workload/_ends.py
@@ -6,7 +6,7 @@
 )
 from cassiaturn.observability import Event
 from cassiaturn.sharing import failed_target_pause_s
-from cassiaturn.workload._dispatch import put_back
+from cassiaturn.workload._dispatch import requeue_task
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._settle import settle
 from cassiaturn.workload._tables import (
@@ -60,7 +60,7 @@
             target=target.target_id,
             end=ended.end,
         )
-        put_back(tables, ended.ref)
+        requeue_task(tables, ended.ref)
 
 
 def claim_ends(tables: Tables, ports: Ports, job: Job, now: float) -> None:
@@ -191,7 +191,7 @@
         failures=task.failures,
         attempts=job.route.max_attempts,
     )
-    put_back(tables, task.ref)
+    requeue_task(tables, task.ref)
     if task.failures >= job.route.max_attempts:
         outcome = Outcome(verdict=Verdict.FAILED, reason="task_failed")
         settle(tables, ports, job, outcome, now)
--- a/src/cassiaturn/workload/_reports.py
+++ b/src/cassiaturn/workload/_reports.py
@@ -8,7 +8,7 @@
 )
 from cassiaturn.observability import Event
 from cassiaturn.sharing import Progress, failed_target_pause_s
-from cassiaturn.workload._dispatch import put_back
+from cassiaturn.workload._dispatch import requeue_task
 from cassiaturn.workload._ends import learn_speed, over, take_end
 from cassiaturn.workload._intake import adopt
 from cassiaturn.workload._ports import Ports
@@ -66,7 +66,7 @@
     tables.counters.refused_starts += 1
     _pause_after(tables, target, answer, now)
     over(tables, target, run)
-    put_back(tables, ref)
+    requeue_task(tables, ref)
     if answer is StartAnswer.OUTDATED:
         _renumber(tables, ref)
 
@@ -79,7 +79,7 @@
     run = target.runs_by_ref.get(ref) if target is not None else None
     if run is not None and run.number == number:
         run.known_since = now
-        run.settled = True
+        run.is_acknowledged = True
 
 
 def on_lease_report(
@@ -98,9 +98,9 @@
     target = tables.targets_by_id.get(target_id)
     if target is None:
         return
-    if not target.heard or target.silent:
+    if not target.has_reported or target.silent:
         ports.record(Event.TARGET_HEARD, target=target_id, runs=len(report.running))
-    target.heard = True
+    target.has_reported = True
     target.silent = False
     for ended in report.ended:
         if ended.sequence > target.ended_seen:
@@ -117,7 +117,7 @@
         target.listed_at = asked_at
         target.unexpected_runs = unexpected
     for run in list(target.runs_by_ref.values()):
-        if run.ref not in listed and run.settled and run.known_since < asked_at:
+        if run.ref not in listed and run.is_acknowledged and run.known_since < asked_at:
             _take_missing(tables, ports, target, run, now)
 
 
@@ -144,7 +144,7 @@
         started_at=now,
         known_since=now,
         is_adopted=True,
-        settled=True,
+        is_acknowledged=True,
         begun_clock_ms=clock_ms,
         percent=listing.percent,
         percent_at=now,
@@ -197,7 +197,7 @@
 def _settle_run(run: Run, clock_ms: int | None, now: float) -> int:
     """Take in that a target has a run; returns its clock when that was first known."""
     run.known_since = now
-    run.settled = True
+    run.is_acknowledged = True
     if run.state is RunState.STARTING:
         run.state = RunState.RUNNING
     if run.begun_clock_ms is None:
@@ -222,7 +222,7 @@
         )
     job = tables.jobs_by_id.get(run.ref.job_id)
     if job is not None and job.tasks_by_ref[run.ref].run is run:
-        put_back(tables, run.ref)
+        requeue_task(tables, run.ref)
 
 
 def _pause_after(
--- a/src/cassiaturn/workload/_tables.py
+++ b/src/cassiaturn/workload/_tables.py
@@ -100,7 +100,7 @@
     is_adopted: bool = False
     """Whether an earlier leader started it, so that its length is not known."""
 
-    settled: bool = False
+    is_acknowledged: bool = False
     """Whether its target has answered an order about it, or listed it. From then on
     a list that was asked for later and leaves it out proves that it is over; before,
     the order to start it may still be on its way."""
@@ -277,7 +277,7 @@
     leaving: bool = False
     """It finishes what it runs and takes nothing new."""
 
-    heard: bool = False
+    has_reported: bool = False
     """Whether it has told this leader what it runs, and has answered since. While it
     has not, another leader may have tasks run there."""
 
@@ -461,7 +461,7 @@
     def reaches_target(self, service: str) -> bool:
         """Return whether a target of a service answers."""
         return any(
-            target.service == service and target.heard and not target.silent
+            target.service == service and target.has_reported and not target.silent
             for target in self.targets_by_id.values()
         )
 
@@ -473,4 +473,4 @@
     @property
     def hears_all(self) -> bool:
         """Whether every target has told this leader what runs there."""
-        return all(target.heard for target in self.targets_by_id.values())
+        return all(target.has_reported for target in self.targets_by_id.values())
--- a/src/cassiaturn/workload/_tick.py
+++ b/src/cassiaturn/workload/_tick.py
@@ -2,7 +2,7 @@
 
 from cassiaturn.observability import Event
 from cassiaturn.sharing import Lateness, hand_back_at, latest_start
-from cassiaturn.workload._dispatch import dispatch, is_held, put_back
+from cassiaturn.workload._dispatch import dispatch, is_held, requeue_task
 from cassiaturn.workload._intake import refused
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._settle import settle, stop
@@ -194,7 +194,7 @@
     job = tables.jobs_by_id.get(run.ref.job_id)
     if job is not None:
         job.tasks_by_ref[run.ref].avoided |= {run.target_id}
-        put_back(tables, run.ref)
+        requeue_task(tables, run.ref)
 
 
 def _forget(tables: Tables, now: float) -> None:
--- a/src/cassiaturn/workload/_served.py
+++ b/src/cassiaturn/workload/_unsupported_features.py
@@ -8,7 +8,7 @@
 from cassiaturn.entities import JobRequest, Route
 
 
-def unserved_feature(request: JobRequest, route: Route) -> str | None:
+def unsupported_feature(request: JobRequest, route: Route) -> str | None:
     """Return what a job asks for that is not served, as it stands in the log.
 
     :param request: the job.
--- a/src/cassiaturn/workload/tests/test_capacity.py
+++ b/src/cassiaturn/workload/tests/test_capacity.py
@@ -50,7 +50,7 @@
         failure_domain="a",
         capacity=capacity,
     )
-    workload.on_target(play.tables, play, report)
+    workload.on_target_report(play.tables, play, report)
 
 
 @pytest.mark.parametrize("guards", [False, True])
--- a/tools/measure_leader.py
+++ b/tools/measure_leader.py
@@ -75,8 +75,8 @@
             failure_domain="d",
             capacity=capacity,
         )
-        workload.on_target(tables, sink, report)
-        tables.targets_by_id[name].heard = True
+        workload.on_target_report(tables, sink, report)
+        tables.targets_by_id[name].has_reported = True
     group = TaskGroup(
         count=TASKS_PER_JOB,
         resources=Resources(cpu_millis=6_800, memory_mib=64),
