--- a/src/cassiaturn/workload/_backlog.py
+++ b/src/cassiaturn/workload/_backlog.py
@@ -5,7 +5,7 @@
 from cassiaturn.sharing import queue_key
 from cassiaturn.workload._tables import Job, Tables, Target, UsableCpu
 
-USABLE_CPU_AGE_S = 0.05
+USABLE_CPU_MAX_AGE_S = 0.05
 """How long a count of the usable processors holds, in seconds: a tick. Counted anew
 for each submission of a burst, it costs a look at every target."""
 
@@ -19,7 +19,7 @@
     on it is late. It gets none until they are known or over; a target that checks
     refuses such a start itself.
     """
-    checks_room = tables.checks_room(service)
+    checks_admission = tables.checks_admission(service)
 
     def is_usable(target: Target) -> bool:
         return (
@@ -27,7 +27,7 @@
             and not target.leaving
             and not target.silent
             and target.paused_until <= now
-            and (checks_room or target.room_is_known)
+            and (checks_admission or target.usage_is_known)
         )
 
     return is_usable
@@ -63,7 +63,7 @@
 def usable_cpu(tables: Tables, service: str, now: float) -> UsableCpu:
     """Return what the usable targets of a service have in all, as of lately."""
     known = tables.usable_cpu_by_service.get(service)
-    if known is not None and now - known.at < USABLE_CPU_AGE_S:
+    if known is not None and now - known.at < USABLE_CPU_MAX_AGE_S:
         return known
     cpu_millis = sum(
         target.capacity.cpu_millis for target in usable_targets(tables, service, now)
--- a/src/cassiaturn/workload/_directory.py
+++ b/src/cassiaturn/workload/_directory.py
@@ -3,14 +3,14 @@
 from cassiaturn.entities import Resources, TargetReport
 from cassiaturn.observability import Event
 from cassiaturn.workload._dispatch import requeue_task
-from cassiaturn.workload._ends import over
+from cassiaturn.workload._ends import remove_run
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._tables import (
     Tables,
     Target,
 )
 
-OTHER_LIFE = "other_life"
+RESTARTED_REASON = "other_life"
 """Why a target is gone of which another process has answered: nothing runs on."""
 
 
@@ -68,7 +68,7 @@
         return
     on_target_lost(tables, ports, target_id, reason, now)
     tables.remove_target(target_id)
-    if reason != OTHER_LIFE:
+    if reason != RESTARTED_REASON:
         # Behind a cut another leader may go on to start tasks there. A young leader
         # that hears all that it still knows would take its lists for the whole truth
         # at the heal, and run the jobs of the other side twice at once. Held until
@@ -114,5 +114,5 @@
             reason=reason,
             age_ms=round((now - run.started_at) * 1000),
         )
-        over(tables, target, run)
+        remove_run(tables, target, run)
         requeue_task(tables, run.ref)
--- a/src/cassiaturn/workload/_dispatch.py
+++ b/src/cassiaturn/workload/_dispatch.py
@@ -49,12 +49,12 @@
     now: float,
 ) -> Job | None:
     """Start tasks of the first jobs in the queue; returns the first that is left."""
-    all_started = 0
+    started_count = 0
     free_cpu = index.largest_free_cpu_millis(is_usable)
     for job in queue.in_order():
         if free_cpu < queue.least_cpu_millis:
             return None
-        if all_started >= MAX_STARTS_PER_TURN:
+        if started_count >= MAX_STARTS_PER_TURN:
             return job
         if job.least_cpu_millis > free_cpu or not _may_start(tables, job, now):
             continue
@@ -70,7 +70,7 @@
                 started.append(run)
                 free_cpu = index.largest_free_cpu_millis(is_usable)
         if started:
-            all_started += len(started)
+            started_count += len(started)
             tables.requeue(job)
             _record_starts(ports, job, started, now)
     return None
@@ -85,20 +85,23 @@
         is_idle=True,
     ):
         return False
-    if now < tables.began_at + tables.settings.survey_s and not tables.hears_all:
+    if (
+        now < tables.began_at + tables.settings.first_lists_wait_s
+        and not tables.all_targets_reported
+    ):
         return False
-    return not is_held(tables, job, now)
+    return not waits_for_earlier_runs(tables, job, now)
 
 
-def is_held(tables: Tables, job: Job, now: float) -> bool:
+def waits_for_earlier_runs(tables: Tables, job: Job, now: float) -> bool:
     """Return whether a task of a job may still run under an earlier leader."""
     if now >= job.hold_until:
         return False
     # Once every target obeys this leader, its lists hold all that an earlier one
     # started. Later in the term a target that the earlier one reached may have left
     # the directory here, behind a cut that has healed since.
-    is_young = now < tables.began_at + tables.settings.inherit_s
-    return not (tables.knows_targets and is_young and tables.hears_all)
+    is_young = now < tables.began_at + tables.settings.handover_window_s
+    return not (tables.knows_targets and is_young and tables.all_targets_reported)
 
 
 def _start(
@@ -117,8 +120,8 @@
         group=task.group,
         state=RunState.STARTING,
         started_at=now,
-        known_since=now,
-        percent_at=now,
+        last_reported_at=now,
+        progress_changed_at=now,
     )
     target = index.choose(
         task.group,
@@ -132,7 +135,7 @@
         return None
     run.target_id = target.target_id
     task.next_run += 1
-    task.take_run(run)
+    task.assign_run(run)
     job.waiting.remove(task)
     job.begun = True
     target.take(task.group.resources, run.group_key)
--- a/src/cassiaturn/workload/_ends.py
+++ b/src/cassiaturn/workload/_ends.py
@@ -24,18 +24,18 @@
 """Weight of one run in a target's slowness: three runs tell a target that takes
 four times as long from one long task."""
 
-SOUND_SLOWNESS = 1.5
+MAX_HEALTHY_SLOWNESS = 1.5
 """Slowness below which a target's runs tell of its kind: a sick one is no measure of
 the others."""
 
 
-def take_end(
+def apply_run_end(
     tables: Tables, ports: Ports, target: Target, ended: EndedRun, now: float
 ) -> None:
     """Take in that a run has ended, and decide on its task."""
     run = target.runs_by_ref.get(ended.ref)
     if run is not None and run.number == ended.run:
-        over(tables, target, run)
+        remove_run(tables, target, run)
     elif run is not None:
         return
     job = tables.jobs_by_id.get(ended.ref.job_id)
@@ -46,7 +46,7 @@
     if task is None or task.done or (task.run is not None and task.run is not run):
         return
     if run is not None:
-        _judge(tables, target, job, run, ended.end, now)
+        _update_target_health(tables, target, job, run, ended.end, now)
         task.length_s = 0.0 if run.is_adopted else now - run.started_at
     if ended.end is RunEnd.DONE:
         _complete(tables, ports, job, task, now)
@@ -63,7 +63,7 @@
         requeue_task(tables, ended.ref)
 
 
-def claim_ends(tables: Tables, ports: Ports, job: Job, now: float) -> None:
+def apply_unclaimed_ends(tables: Tables, ports: Ports, job: Job, now: float) -> None:
     """Give a job the ends of its tasks that were listed before it was passed on.
 
     Between a leader's last word and its successor's first list most tasks end, and a
@@ -101,7 +101,7 @@
         )
 
 
-def over(tables: Tables, target: Target, run: Run) -> None:
+def remove_run(tables: Tables, target: Target, run: Run) -> None:
     """Count a run as certainly over."""
     del target.runs_by_ref[run.ref]
     if tables.runs_by_ref.get(run.ref) is run:
@@ -110,7 +110,7 @@
         target.give_back(run.group.resources, run.group_key)
 
 
-def _judge(
+def _update_target_health(
     tables: Tables, target: Target, job: Job, run: Run, end: RunEnd, now: float
 ) -> None:
     if end is RunEnd.DONE:
@@ -118,9 +118,9 @@
         if run.is_adopted:
             return
         run_s = now - run.started_at
-        learn_speed(target, job, run_s)
+        update_slowness(target, job, run_s)
         target.note_change()
-        if target.slowness < SOUND_SLOWNESS:
+        if target.slowness < MAX_HEALTHY_SLOWNESS:
             tables.expected.observe(job.route.name, run_s)
     elif end is RunEnd.FAILED:
         target.failures_in_row += 1
@@ -128,7 +128,7 @@
         target.paused_until = max(target.paused_until, now + pause_s)
 
 
-def _learn_paces(tables: Tables, ports: Ports, job: Job) -> None:
+def _record_target_paces(tables: Tables, ports: Ports, job: Job) -> None:
     """Take in what the tasks of a complete job tell of their targets' speeds."""
     expected = tables.expected
     name = job.route.name
@@ -137,7 +137,7 @@
         for task in job.tasks_by_ref.values()
         if task.length_s and task.first_started_at == task.last_started_at
         if (target := tables.targets_by_id.get(task.last_target_id)) is not None
-        if target.slowness < SOUND_SLOWNESS
+        if target.slowness < MAX_HEALTHY_SLOWNESS
     ]
     if not runs:
         return
@@ -153,7 +153,7 @@
             )
 
 
-def learn_speed(target: Target, job: Job, run_s: float) -> None:
+def update_slowness(target: Target, job: Job, run_s: float) -> None:
     """Take in how long a run took, or will take, on a target."""
     ratio = run_s / max(job.expected_run_s, 1e-3)
     target.slowness += SLOWNESS_WEIGHT * (min(ratio, 10.0) - target.slowness)
@@ -168,7 +168,7 @@
         tables.requeue(job)
     job.remaining_by_group[task.ref.group] -= 1
     if job.remaining == 0:
-        _learn_paces(tables, ports, job)
+        _record_target_paces(tables, ports, job)
         settle(
             tables,
             ports,
--- a/src/cassiaturn/workload/_intake.py
+++ b/src/cassiaturn/workload/_intake.py
@@ -11,9 +11,9 @@
     spread_retry_after,
 )
 from cassiaturn.workload._backlog import backlog_s
-from cassiaturn.workload._ends import claim_ends
+from cassiaturn.workload._ends import apply_unclaimed_ends
 from cassiaturn.workload._ports import Ports
-from cassiaturn.workload._settle import retire
+from cassiaturn.workload._settle import remove_ended_job
 from cassiaturn.workload._tables import (
     Job,
     Outcome,
@@ -68,10 +68,10 @@
         _join(tables, job, submission, now)
         ports.record(Event.JOB_JOINED, id=job_id, origin=submission.origin)
         return None
-    retired = tables.retired_by_id.pop(job_id, None)
+    retired = tables.ended_jobs_by_id.pop(job_id, None)
     known = retired.outcome if retired is not None else None
     if retired is not None and known is not None and _is_final(known):
-        tables.retired_by_id[job_id] = retired
+        tables.ended_jobs_by_id[job_id] = retired
         ports.record(Event.JOB_REPEATED, id=job_id, origin=submission.origin)
         return known
     job = _make_job(tables, submission, now, retired.next_run if retired else 0)
@@ -81,7 +81,7 @@
         tables.counters.refused += 1
         return refusal
     tables.add_job(job, now)
-    _adopt_runs(tables, job)
+    _adopt_listed_runs(tables, job)
     ports.record(
         Event.JOB_QUEUED,
         id=job_id,
@@ -97,7 +97,7 @@
         confirmed=job.is_confirmed,
         version=tables.routing.version if tables.routing is not None else 0,
     )
-    claim_ends(tables, ports, job, now)
+    apply_unclaimed_ends(tables, ports, job, now)
     return None
 
 
@@ -148,7 +148,7 @@
             origin=origin,
             age_ms=round((now - job.arrived_at) * 1000),
         )
-        retire(tables, ports, job, None, now)
+        remove_ended_job(tables, ports, job, None, now)
     return True
 
 
@@ -186,7 +186,7 @@
     ]
     chain_s = longest_chain_s(request.groups, group_runs)
     arrived_at = now - submission.waited_s
-    first_run = max(next_run, tables.term * tables.settings.runs_per_term + 1)
+    first_run = max(next_run, tables.term * tables.settings.run_numbers_per_term + 1)
     tasks = [
         Task(
             ref=TaskRef(request.job_id, 0, position, index),
@@ -228,7 +228,7 @@
     if not tables.targets_by_id and now < tables.began_at + settings.directory_wait_s:
         return None
     if not has_target(tables, job.route.service):
-        return refused("no_target", job, settings.min_retry_after_s)
+        return make_refusal("no_target", job, settings.min_retry_after_s)
     wait_s = backlog_s(tables, job, now)
     start_by = latest_start(
         limit_at=job.deadlines.limit_at,
@@ -238,7 +238,7 @@
     if now + wait_s <= start_by - settings.refusal_margin_s:
         return None
     excess_s = max(settings.min_retry_after_s, now + wait_s - start_by)
-    return refused("backlog", job, excess_s)
+    return make_refusal("backlog", job, excess_s)
 
 
 def has_target(tables: Tables, service: str) -> bool:
@@ -249,7 +249,7 @@
     )
 
 
-def refused(reason: str, job: Job, retry_after_s: float) -> Outcome:
+def make_refusal(reason: str, job: Job, retry_after_s: float) -> Outcome:
     """Return a refusal that tells its caller when to come back.
 
     :param retry_after_s: when there may be room, in seconds.
@@ -261,19 +261,19 @@
     )
 
 
-def _adopt_runs(tables: Tables, job: Job) -> None:
+def _adopt_listed_runs(tables: Tables, job: Job) -> None:
     """Take over what targets have listed of the job already."""
     for task in list(job.waiting):
         run = tables.runs_by_ref.get(task.ref)
         if run is None or run.state is RunState.STOPPING:
             continue
-        adopt(tables, job, task)
+        adopt_run(tables, job, task)
 
 
-def adopt(tables: Tables, job: Job, task: Task) -> None:
+def adopt_run(tables: Tables, job: Job, task: Task) -> None:
     """Make the run that a target listed the task's own."""
     run = tables.runs_by_ref[task.ref]
-    task.take_run(run)
+    task.assign_run(run)
     task.next_run = max(task.next_run, run.number + 1)
     job.waiting.remove(task)
     tables.requeue(job)
--- a/src/cassiaturn/workload/_job_timing.py
+++ b/src/cassiaturn/workload/_job_timing.py
@@ -5,7 +5,7 @@
 
 from cassiaturn.workload._tables import Job, Tables, Target, Task
 
-FAST_SHARE = 0.25
+FAST_TARGET_RATIO = 0.25
 """Part of the targets that count as fast: the one that seems the fastest of all is the
 one whose speed is known the least."""
 
@@ -104,7 +104,7 @@
         for target in tables.targets_by_id.values()
         if target.service == service and not target.silent
     )
-    return ratios[int(FAST_SHARE * len(ratios))] if ratios else 1.0
+    return ratios[int(FAST_TARGET_RATIO * len(ratios))] if ratios else 1.0
 
 
 def _task_timing(
@@ -123,11 +123,11 @@
         start_s=started_at - job.arrived_at,
         lost_s=started_at - (task.first_started_at or started_at),
         run_s=0.0 if is_waiting else length_s,
-        slower=_slower(target, fast),
+        slower=_slowdown(target, fast),
     )
 
 
-def _slower(target: Target | None, fast: float) -> float:
+def _slowdown(target: Target | None, fast: float) -> float:
     """Return run times on a target over those on fast ones."""
     if target is None:
         return 1.0
--- a/src/cassiaturn/workload/_reports.py
+++ b/src/cassiaturn/workload/_reports.py
@@ -9,10 +9,10 @@
 from cassiaturn.observability import Event
 from cassiaturn.sharing import Progress, failed_target_pause_s
 from cassiaturn.workload._dispatch import requeue_task
-from cassiaturn.workload._ends import learn_speed, over, take_end
-from cassiaturn.workload._intake import adopt
+from cassiaturn.workload._ends import apply_run_end, remove_run, update_slowness
+from cassiaturn.workload._intake import adopt_run
 from cassiaturn.workload._ports import Ports
-from cassiaturn.workload._settings import CLOCK_DRIFT
+from cassiaturn.workload._settings import CLOCK_DRIFT_RATIO
 from cassiaturn.workload._settle import stop
 from cassiaturn.workload._tables import (
     Run,
@@ -21,7 +21,7 @@
     Target,
 )
 
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
 
 def on_start_answer(
@@ -44,7 +44,7 @@
     if target is None or run is None or run.number != number:
         return
     if answer is StartAnswer.STARTED:
-        _settle_run(run, clock_ms, now)
+        _acknowledge_run(run, clock_ms, now)
         return
     ports.record(
         Event.START_REFUSED,
@@ -64,11 +64,11 @@
         run.state = RunState.UNCERTAIN
         return
     tables.counters.refused_starts += 1
-    _pause_after(tables, target, answer, now)
-    over(tables, target, run)
+    _pause_after_refusal(tables, target, answer, now)
+    remove_run(tables, target, run)
     requeue_task(tables, ref)
     if answer is StartAnswer.OUTDATED:
-        _renumber(tables, ref)
+        _raise_next_run(tables, ref)
 
 
 def on_stop_answer(
@@ -78,7 +78,7 @@
     target = tables.targets_by_id.get(target_id)
     run = target.runs_by_ref.get(ref) if target is not None else None
     if run is not None and run.number == number:
-        run.known_since = now
+        run.last_reported_at = now
         run.is_acknowledged = True
 
 
@@ -105,23 +105,27 @@
     for ended in report.ended:
         if ended.sequence > target.ended_seen:
             target.ended_seen = ended.sequence
-            take_end(tables, ports, target, ended, now)
+            apply_run_end(tables, ports, target, ended, now)
     listed: set[TaskRef] = set()
     unexpected = 0
     for listing in report.running:
         listed.add(listing.ref)
-        if not _take_listing(tables, ports, target, listing, report.clock_ms, now):
+        if not _apply_listing(tables, ports, target, listing, report.clock_ms, now):
             unexpected += 1
-    if asked_at >= target.listed_at:
+    if asked_at >= target.list_requested_at:
         # Lists overtake each other: an older one does not tell what runs now.
-        target.listed_at = asked_at
+        target.list_requested_at = asked_at
         target.unexpected_runs = unexpected
     for run in list(target.runs_by_ref.values()):
-        if run.ref not in listed and run.is_acknowledged and run.known_since < asked_at:
-            _take_missing(tables, ports, target, run, now)
+        if (
+            run.ref not in listed
+            and run.is_acknowledged
+            and run.last_reported_at < asked_at
+        ):
+            _remove_missing_run(tables, ports, target, run, now)
 
 
-def _take_listing(
+def _apply_listing(
     tables: Tables,
     ports: Ports,
     target: Target,
@@ -132,7 +136,7 @@
     """Take in one row of a list; returns whether that run is the task's own."""
     run = target.runs_by_ref.get(listing.ref)
     if run is not None and run.number == listing.run:
-        _update(tables, target, run, listing, clock_ms, now)
+        _apply_progress(tables, target, run, listing, clock_ms, now)
         return True
     other = tables.runs_by_ref.get(listing.ref)
     found = Run(
@@ -142,12 +146,12 @@
         group=None,
         state=RunState.RUNNING,
         started_at=now,
-        known_since=now,
+        last_reported_at=now,
         is_adopted=True,
         is_acknowledged=True,
-        begun_clock_ms=clock_ms,
+        first_seen_clock_ms=clock_ms,
         percent=listing.percent,
-        percent_at=now,
+        progress_changed_at=now,
     )
     if run is not None or other is not None:
         # A start that was carried out late, beside the run that took its place.
@@ -165,13 +169,13 @@
     job = tables.jobs_by_id.get(found.ref.job_id)
     task = job.tasks_by_ref.get(found.ref) if job is not None else None
     if job is not None and task is not None and task in job.waiting:
-        adopt(tables, job, task)
+        adopt_run(tables, job, task)
     elif now > tables.began_at + tables.settings.orphan_grace_s:
         stop(tables, ports, found, now)
     return True
 
 
-def _update(
+def _apply_progress(
     tables: Tables,
     target: Target,
     run: Run,
@@ -179,37 +183,41 @@
     clock_ms: int,
     now: float,
 ) -> None:
-    begun_clock_ms = _settle_run(run, clock_ms, now)
+    first_seen_clock_ms = _acknowledge_run(run, clock_ms, now)
     if listing.percent == run.percent:
         return
     run.percent = listing.percent
-    run.percent_at = now
+    run.progress_changed_at = now
     # By the target's clock: a busy leader reads a list some time after it was made, and
     # would take the run for longer than it is.
-    elapsed_s = (clock_ms - begun_clock_ms) / MILLISECONDS * (1.0 - CLOCK_DRIFT)
+    elapsed_s = (
+        (clock_ms - first_seen_clock_ms)
+        / MILLISECONDS_PER_SECOND
+        * (1.0 - CLOCK_DRIFT_RATIO)
+    )
     progress = Progress(elapsed_s=elapsed_s, percent=listing.percent)
     run.least_run_s = max(run.least_run_s, progress.least_run_s())
     job = tables.jobs_by_id.get(run.ref.job_id)
     if job is not None and run.least_run_s and not run.is_adopted:
-        learn_speed(target, job, run.least_run_s)
+        update_slowness(target, job, run.least_run_s)
 
 
-def _settle_run(run: Run, clock_ms: int | None, now: float) -> int:
+def _acknowledge_run(run: Run, clock_ms: int | None, now: float) -> int:
     """Take in that a target has a run; returns its clock when that was first known."""
-    run.known_since = now
+    run.last_reported_at = now
     run.is_acknowledged = True
     if run.state is RunState.STARTING:
         run.state = RunState.RUNNING
-    if run.begun_clock_ms is None:
-        run.begun_clock_ms = clock_ms
-    return run.begun_clock_ms or 0
+    if run.first_seen_clock_ms is None:
+        run.first_seen_clock_ms = clock_ms
+    return run.first_seen_clock_ms or 0
 
 
-def _take_missing(
+def _remove_missing_run(
     tables: Tables, ports: Ports, target: Target, run: Run, now: float
 ) -> None:
     was_wanted = run.state is RunState.RUNNING
-    over(tables, target, run)
+    remove_run(tables, target, run)
     if was_wanted:
         tables.counters.lost_runs += 1
         ports.record(
@@ -225,7 +233,7 @@
         requeue_task(tables, run.ref)
 
 
-def _pause_after(
+def _pause_after_refusal(
     tables: Tables, target: Target, answer: StartAnswer, now: float
 ) -> None:
     settings = tables.settings
@@ -240,8 +248,8 @@
     target.paused_until = max(target.paused_until, now + pause_s)
 
 
-def _renumber(tables: Tables, ref: TaskRef) -> None:
+def _raise_next_run(tables: Tables, ref: TaskRef) -> None:
     """Move the next run's number above what an earlier leader may have used."""
     job = tables.jobs_by_id.get(ref.job_id)
     if job is not None:
-        job.tasks_by_ref[ref].next_run += tables.settings.runs_per_term
+        job.tasks_by_ref[ref].next_run += tables.settings.run_numbers_per_term
--- a/src/cassiaturn/workload/_settle.py
+++ b/src/cassiaturn/workload/_settle.py
@@ -4,9 +4,9 @@
 from cassiaturn.workload._job_timing import job_timing
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._tables import (
+    EndedJob,
     Job,
     Outcome,
-    Retired,
     Run,
     RunState,
     Tables,
@@ -18,7 +18,7 @@
     tables: Tables, ports: Ports, job: Job, outcome: Outcome, now: float
 ) -> None:
     """Give a job its outcome and stop what still runs of it."""
-    _count(tables, outcome)
+    _count_outcome(tables, outcome)
     ports.finish(job, outcome)
     ports.record(
         Event.JOB_ENDED,
@@ -33,7 +33,7 @@
     )
     if job.begun and (job.is_tight or outcome.verdict is Verdict.ABANDONED):
         _record_timing(tables, ports, job, outcome, now)
-    retire(tables, ports, job, outcome, now)
+    remove_ended_job(tables, ports, job, outcome, now)
 
 
 def _record_timing(
@@ -64,7 +64,7 @@
     return round(seconds * 1000)
 
 
-def retire(
+def remove_ended_job(
     tables: Tables, ports: Ports, job: Job, outcome: Outcome | None, now: float
 ) -> None:
     """Take a job out of the tables, and stop what still runs of it.
@@ -73,7 +73,7 @@
     """
     tables.remove_job(job)
     next_run = max(task.next_run for task in job.tasks_by_ref.values())
-    tables.retired_by_id[job.job_id] = Retired(
+    tables.ended_jobs_by_id[job.job_id] = EndedJob(
         outcome=outcome, next_run=next_run, at=now
     )
     for task in job.tasks_by_ref.values():
@@ -89,7 +89,7 @@
     ports.stop(run)
 
 
-def _count(tables: Tables, outcome: Outcome) -> None:
+def _count_outcome(tables: Tables, outcome: Outcome) -> None:
     match outcome.verdict:
         case Verdict.COMPLETED:
             tables.counters.completed += 1
--- a/src/cassiaturn/workload/_tables.py
+++ b/src/cassiaturn/workload/_tables.py
@@ -94,7 +94,7 @@
     started_at: float
     """When the order was sent, or the run first seen, in seconds."""
 
-    known_since: float
+    last_reported_at: float
     """Time of the last answer about it, in seconds."""
 
     is_adopted: bool = False
@@ -105,7 +105,7 @@
     a list that was asked for later and leaves it out proves that it is over; before,
     the order to start it may still be on its way."""
 
-    begun_clock_ms: int | None = None
+    first_seen_clock_ms: int | None = None
     """What its target's clock showed when it confirmed or first listed the run, in
     milliseconds; None: it has not."""
 
@@ -115,7 +115,7 @@
     least_run_s: float = 0.0
     """Lower bound of its whole length by its progress, in seconds; 0: not known."""
 
-    percent_at: float = 0.0
+    progress_changed_at: float = 0.0
     """When that share last changed, in seconds."""
 
     order_sent_at: float = 0.0
@@ -164,7 +164,7 @@
     avoided: frozenset[str] = frozenset()
     """Targets that failed it."""
 
-    def take_run(self, run: Run) -> None:
+    def assign_run(self, run: Run) -> None:
         """Make a run the task's own."""
         self.run = run
         self.first_started_at = self.first_started_at or run.started_at
@@ -296,11 +296,11 @@
     unexpected_runs: int = 0
     """Second runs of tasks, told to stop, in the last list."""
 
-    listed_at: float = 0.0
+    list_requested_at: float = 0.0
     """When the last list that was taken in was asked for, in seconds."""
 
     @property
-    def room_is_known(self) -> bool:
+    def usage_is_known(self) -> bool:
         """Whether all that runs there, or may, is counted with what it takes."""
         return not self.unexpected_runs and all(
             run.group is not None for run in self.runs_by_ref.values()
@@ -308,7 +308,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Retired:
+class EndedJob:
     """What is remembered of a job that has ended."""
 
     outcome: Outcome | None
@@ -400,7 +400,7 @@
     unreached_since_by_service: dict[str, float] = field(default_factory=dict)
     """Since when no target of a service answers, in seconds; not there: one does."""
 
-    retired_by_id: "OrderedDict[str, Retired]" = field(default_factory=OrderedDict)
+    ended_jobs_by_id: "OrderedDict[str, EndedJob]" = field(default_factory=OrderedDict)
     """Jobs that ended lately, oldest first."""
 
     targets_by_id: dict[str, Target] = field(default_factory=dict)
@@ -458,19 +458,19 @@
         target = self.targets_by_id.pop(target_id)
         self.index_by_service[target.service].remove(target)
 
-    def reaches_target(self, service: str) -> bool:
+    def has_responding_target(self, service: str) -> bool:
         """Return whether a target of a service answers."""
         return any(
             target.service == service and target.has_reported and not target.silent
             for target in self.targets_by_id.values()
         )
 
-    def checks_room(self, service: str) -> bool:
+    def checks_admission(self, service: str) -> bool:
         """Return whether a service's targets refuse a start that does not fit."""
         known = self.routing.services_by_name if self.routing is not None else {}
         return service in known and known[service].admission_check
 
     @property
-    def hears_all(self) -> bool:
+    def all_targets_reported(self) -> bool:
         """Whether every target has told this leader what runs there."""
         return all(target.has_reported for target in self.targets_by_id.values())
--- a/src/cassiaturn/workload/_tick.py
+++ b/src/cassiaturn/workload/_tick.py
@@ -2,8 +2,8 @@
 
 from cassiaturn.observability import Event
 from cassiaturn.sharing import Lateness, hand_back_at, latest_start
-from cassiaturn.workload._dispatch import dispatch, is_held, requeue_task
-from cassiaturn.workload._intake import refused
+from cassiaturn.workload._dispatch import dispatch, requeue_task, waits_for_earlier_runs
+from cassiaturn.workload._intake import make_refusal
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._settle import settle, stop
 from cassiaturn.workload._tables import (
@@ -16,11 +16,11 @@
     Verdict,
 )
 
-SLOWNESS_KEPT = 0.98
+SLOWNESS_DECAY_PER_TICK = 0.98
 """Part of a target's excess slowness that is left after a tick: half of it is gone
 in 1.7 s at 20 ticks a second, so that a recovered target is tried again."""
 
-STALL_SHARE = 0.05
+MIN_STALL_RATIO = 0.05
 """Least share of its expected length for which a run shows no progress that counts as
 standing still: progress is told in hundredths, and a slow target takes several times
 as long for each."""
@@ -33,7 +33,7 @@
     """
     _check_jobs(tables, ports, now)
     _check_runs(tables, ports, now)
-    _forget(tables, now)
+    _expire_records(tables, now)
     moved_services = {
         service
         for service, book in tables.speeds_by_service.items()
@@ -41,7 +41,7 @@
     }
     for target in tables.targets_by_id.values():
         was_slow = target.is_slow
-        target.slowness = 1.0 + (target.slowness - 1.0) * SLOWNESS_KEPT
+        target.slowness = 1.0 + (target.slowness - 1.0) * SLOWNESS_DECAY_PER_TICK
         if was_slow or target.service in moved_services:
             target.note_change()
     return dispatch(tables, ports, now)
@@ -68,14 +68,14 @@
 
 def _check_jobs(tables: Tables, ports: Ports, now: float) -> None:
     _refuse_overdue(tables, ports, now)
-    _hand_back(tables, ports, now)
+    _end_unreachable_jobs(tables, ports, now)
     for job in list(tables.jobs_by_id.values()):
         if not job.begun:
             continue
         if now >= job.deadlines.limit_at:
             outcome = Outcome(verdict=Verdict.ABANDONED, reason="limit_passed")
             settle(tables, ports, job, outcome, now)
-        elif _is_held_too_long(tables, job, now):
+        elif _waits_too_long(tables, job, now):
             outcome = Outcome(verdict=Verdict.ABANDONED, reason="held_too_long")
             settle(tables, ports, job, outcome, now)
         elif _cannot_finish(job):
@@ -95,14 +95,14 @@
         _refuse(tables, ports, job, "no_target", now)
 
 
-def _hand_back(tables: Tables, ports: Ports, now: float) -> None:
+def _end_unreachable_jobs(tables: Tables, ports: Ports, now: float) -> None:
     """End jobs of a service none of whose targets can be reached for long.
 
     This leader may be cut off; another member may serve their callers.
     """
     for service, queue in tables.queue_by_service.items():
         unreached = tables.unreached_since_by_service
-        if not queue or tables.reaches_target(service):
+        if not queue or tables.has_responding_target(service):
             unreached.pop(service, None)
             continue
         since = unreached.setdefault(service, now)
@@ -118,26 +118,28 @@
             if job.begun:
                 outcome = Outcome(verdict=Verdict.ABANDONED, reason="no_target")
             else:
-                outcome = refused("no_target", job, tables.settings.min_retry_after_s)
+                outcome = make_refusal(
+                    "no_target", job, tables.settings.min_retry_after_s
+                )
             settle(tables, ports, job, outcome, now)
 
 
 def _refuse(tables: Tables, ports: Ports, job: Job, reason: str, now: float) -> None:
     if not job.begun:
-        outcome = refused(reason, job, tables.settings.min_retry_after_s)
+        outcome = make_refusal(reason, job, tables.settings.min_retry_after_s)
         settle(tables, ports, job, outcome, now)
 
 
-def _is_held_too_long(tables: Tables, job: Job, now: float) -> bool:
+def _waits_too_long(tables: Tables, job: Job, now: float) -> bool:
     """Return whether an inherited job can start only when it is too late."""
-    if not job.waiting or now < tables.began_at + tables.settings.survey_over_s:
+    if not job.waiting or now < tables.began_at + tables.settings.first_list_timeout_s:
         return False
     start_by = latest_start(
         limit_at=job.deadlines.limit_at,
         expected_run_s=job.expected_run_s,
         is_idle=True,
     )
-    return job.hold_until > start_by and is_held(tables, job, now)
+    return job.hold_until > start_by and waits_for_earlier_runs(tables, job, now)
 
 
 def _cannot_finish(job: Job) -> bool:
@@ -157,7 +159,7 @@
             # Its lease ends what runs there; orders would only pile up.
             continue
         if run.state in (RunState.STOPPING, RunState.UNCERTAIN):
-            if now - run.order_sent_at >= settings.stop_again_s:
+            if now - run.order_sent_at >= settings.stop_resend_interval_s:
                 run.order_sent_at = now
                 ports.stop(run)
         elif run.group is None:
@@ -166,19 +168,21 @@
                     Event.RUN_ORPHANED, id=run.ref.job_id, target=run.target_id
                 )
                 stop(tables, ports, run, now)
-        elif run.state is RunState.RUNNING and _stands_still(tables, run):
-            _replace(tables, ports, run, now)
+        elif run.state is RunState.RUNNING and _is_stalled(tables, run):
+            _replace_stalled_run(tables, ports, run, now)
 
 
-def _stands_still(tables: Tables, run: Run) -> bool:
+def _is_stalled(tables: Tables, run: Run) -> bool:
     """Return whether a list that is newer by the stall time shows no progress."""
     job = tables.jobs_by_id.get(run.ref.job_id)
     expected_run_s = job.expected_run_s if job is not None else 0.0
-    stall_s = max(tables.settings.stall_s, STALL_SHARE * expected_run_s)
-    return run.known_since - run.percent_at >= stall_s
+    stall_timeout_s = max(
+        tables.settings.stall_timeout_s, MIN_STALL_RATIO * expected_run_s
+    )
+    return run.last_reported_at - run.progress_changed_at >= stall_timeout_s
 
 
-def _replace(tables: Tables, ports: Ports, run: Run, now: float) -> None:
+def _replace_stalled_run(tables: Tables, ports: Ports, run: Run, now: float) -> None:
     """Stop a run that stands still; its task goes to another target after it."""
     target = tables.targets_by_id[run.target_id]
     target.paused_until = max(target.paused_until, now + tables.settings.stall_pause_s)
@@ -197,20 +201,20 @@
         requeue_task(tables, run.ref)
 
 
-def _forget(tables: Tables, now: float) -> None:
-    _forget_unclaimed(tables, now)
-    retired = tables.retired_by_id
+def _expire_records(tables: Tables, now: float) -> None:
+    _expire_unclaimed_ends(tables, now)
+    retired = tables.ended_jobs_by_id
     while retired:
         job_id, oldest = next(iter(retired.items()))
-        if now - oldest.at < tables.settings.retired_s:
+        if now - oldest.at < tables.settings.ended_job_retention_s:
             return
         del retired[job_id]
 
 
-def _forget_unclaimed(tables: Tables, now: float) -> None:
+def _expire_unclaimed_ends(tables: Tables, now: float) -> None:
     unclaimed = tables.unclaimed_ends_by_ref
     while unclaimed:
         ref, oldest = next(iter(unclaimed.items()))
-        if now - oldest.at < tables.settings.unclaimed_s:
+        if now - oldest.at < tables.settings.unclaimed_end_retention_s:
             return
         del unclaimed[ref]
