--- a/src/cassiaturn/workload/__init__.py
+++ b/src/cassiaturn/workload/__init__.py
@@ -1,9 +1,8 @@
-"""Tables of a leader, and the systems that run over them.
+"""Scheduling state of a leader, and the functions that change it.
 
-Load that they answer: jobs of many short tasks, each asking for a part of a worker,
-at a rate at which nearly every worker is in use. Nothing here waits, reads a clock
-or opens a connection: the process, or a test, passes events in and implements
-:class:`Ports`.
+Load pattern: jobs of many short tasks, each of which needs part of a worker, at a rate
+at which nearly every worker is in use. Nothing here blocks, reads a clock or opens a
+connection: the process, or a test, passes events in and implements :class:`Ports`.
 """
 
 from cassiaturn.workload._backlog import backlog_s, usable_targets
--- a/src/cassiaturn/workload/_backlog.py
+++ b/src/cassiaturn/workload/_backlog.py
@@ -1,4 +1,4 @@
-"""How long a job waits for room behind what is queued before it."""
+"""Estimates how long a job waits in the queue before its first start."""
 
 from collections.abc import Callable
 
@@ -6,18 +6,22 @@
 from cassiaturn.workload._tables import Job, Tables, Target, UsableCpu
 
 USABLE_CPU_MAX_AGE_S = 0.05
-"""How long a count of the usable processors holds, in seconds: a tick. Counted anew
-for each submission of a burst, it costs a look at every target."""
+"""How long a count of the usable processors stays valid, in seconds: one tick. Counting
+for every submission of a burst would scan all targets each time."""
 
 
 def usable_check(tables: Tables, service: str, now: float) -> Callable[[Target], bool]:
-    """Return a check whether a target of a service may get a start now.
+    """Return a predicate that tells whether a target may get a start now.
 
-    A target that checks nothing starts whatever it is told to. After a change of leader
-    it lists runs of jobs that nobody has passed on yet, so that what they take is not
-    known: a start beside them may bring the worker over its capacity, and everything
-    on it is late. It gets none until they are known or over; a target that checks
-    refuses such a start itself.
+    A target without admission control starts every task that it is ordered to. After a
+    change of leader it lists runs of jobs that no member has passed on yet, so the
+    resources that they use are unknown: a start beside them may exceed the worker's
+    capacity and delay everything on it. Such a target gets no start until those runs
+    are known or have ended. A target with admission control refuses such a start
+    itself.
+
+    :param service: the targets' service.
+    :param now: time in seconds.
     """
     checks_admission = tables.checks_admission(service)
 
@@ -44,27 +48,27 @@
 
 
 def backlog_s(tables: Tables, job: Job, now: float) -> float:
-    """Return the expected wait of a job's first start, in seconds.
+    """Return the expected wait before a job's first start, in seconds.
 
-    The queued work ahead of it is spread over all processors of the service, as
-    late binding does.
+    The queued work ahead of it is divided by all processors of the service, because
+    tasks are bound to targets only when they start.
     """
     queue = tables.queue_by_service.get(job.route.service)
     if not queue:
         return 0.0
     queue.advance(now)
-    ahead = queue.work_ahead_s(queue_key(job, now))
-    if ahead == 0.0:
+    work_ahead = queue.work_ahead_s(queue_key(job, now))
+    if work_ahead == 0.0:
         return 0.0
     cpu_millis = usable_cpu(tables, job.route.service, now).cpu_millis
-    return ahead / cpu_millis if cpu_millis else 0.0
+    return work_ahead / cpu_millis if cpu_millis else 0.0
 
 
 def usable_cpu(tables: Tables, service: str, now: float) -> UsableCpu:
-    """Return what the usable targets of a service have in all, as of lately."""
-    known = tables.usable_cpu_by_service.get(service)
-    if known is not None and now - known.at < USABLE_CPU_MAX_AGE_S:
-        return known
+    """Return the total CPU of a service's usable targets, cached for a tick."""
+    cached = tables.usable_cpu_by_service.get(service)
+    if cached is not None and now - cached.at < USABLE_CPU_MAX_AGE_S:
+        return cached
     cpu_millis = sum(
         target.capacity.cpu_millis for target in usable_targets(tables, service, now)
     )
--- a/src/cassiaturn/workload/_directory.py
+++ b/src/cassiaturn/workload/_directory.py
@@ -1,4 +1,4 @@
-"""Targets that come, leave, fall silent or are lost."""
+"""Handles targets that join, leave, stop responding or are lost."""
 
 from cassiaturn.entities import Resources, TargetReport
 from cassiaturn.observability import Event
@@ -11,11 +11,12 @@
 )
 
 RESTARTED_REASON = "other_life"
-"""Why a target is gone of which another process has answered: nothing runs on."""
+"""Reason given when another process of the target has answered: the target was
+restarted, so none of its earlier runs continues."""
 
 
 def on_target_report(tables: Tables, ports: Ports, report: TargetReport) -> None:
-    """Take in what a target publishes of itself."""
+    """Add or update a target from the report that it publishes."""
     target = tables.targets_by_id.get(report.target_id)
     if target is None:
         tables.add_target(
@@ -46,7 +47,7 @@
 
 
 def _resize(ports: Ports, target: Target, capacity: Resources) -> None:
-    """Take in another capacity; what runs beyond a smaller one runs on."""
+    """Change a target's capacity; runs that exceed a smaller one continue."""
     ports.record(
         Event.TARGET_RESIZED,
         target=target.target_id,
@@ -63,21 +64,22 @@
 def on_target_gone(
     tables: Tables, ports: Ports, target_id: str, reason: str, now: float
 ) -> None:
-    """Take a target out whose runs under this leader are certainly over."""
+    """Remove a target whose runs under this leader have certainly ended."""
     if target_id not in tables.targets_by_id:
         return
     on_target_lost(tables, ports, target_id, reason, now)
     tables.remove_target(target_id)
     if reason != RESTARTED_REASON:
-        # Behind a cut another leader may go on to start tasks there. A young leader
-        # that hears all that it still knows would take its lists for the whole truth
-        # at the heal, and run the jobs of the other side twice at once. Held until
-        # their leases are over, they are safe whatever was let go.
+        # On the other side of a partition another leader may go on starting tasks
+        # there. When the partition heals, a new leader whose remaining targets have all
+        # reported would take their lists for complete and run the other side's jobs a
+        # second time concurrently. From now on inherited jobs wait until the leases
+        # have expired.
         tables.knows_targets = False
 
 
 def on_target_unanswered(tables: Tables, target_id: str, now: float) -> None:
-    """Send a target nothing new until its second list can have come."""
+    """Pause starts on a target until its next list can have arrived."""
     target = tables.targets_by_id.get(target_id)
     if target is not None:
         pause_until = now + tables.settings.unanswered_pause_s
@@ -85,7 +87,7 @@
 
 
 def on_target_silent(tables: Tables, ports: Ports, target_id: str) -> None:
-    """Send a target nothing new until it answers again."""
+    """Mark a target as not responding: it gets no start until it answers."""
     target = tables.targets_by_id.get(target_id)
     if target is not None and not target.silent:
         target.silent = True
@@ -97,12 +99,12 @@
 def on_target_lost(
     tables: Tables, ports: Ports, target_id: str, reason: str, now: float
 ) -> None:
-    """End every run of a target: its process is gone, or its lease ran out."""
+    """Remove all runs of a target whose process is gone or lease expired."""
     target = tables.targets_by_id.get(target_id)
     if target is None:
         return
     target.silent = True
-    # On the far side of a cut another leader may start tasks there from now on.
+    # Across a partition another leader may start tasks there from now on.
     target.has_reported = False
     for run in list(target.runs_by_ref.values()):
         tables.counters.lost_runs += 1
--- a/src/cassiaturn/workload/_dispatch.py
+++ b/src/cassiaturn/workload/_dispatch.py
@@ -1,4 +1,4 @@
-"""Starts queued tasks wherever there is room, in order of the queue."""
+"""Starts queued tasks on targets with free resources, in queue order."""
 
 from collections.abc import Callable
 
@@ -16,17 +16,18 @@
 from cassiaturn.workload._tables import Job, Run, RunState, Tables, Target, Task
 
 MAX_STARTS_PER_TURN = 32
-"""Starts after which the rest of a service's queue is left for another turn: jobs that
-were handed in meanwhile, and may be more urgent, are read before it."""
+"""Starts per service and turn. The rest of the queue waits for the next turn, so that
+jobs that have arrived meanwhile, and may be more urgent, are read first."""
 
 
 def dispatch(tables: Tables, ports: Ports, now: float) -> Lateness | None:
-    """Start what can be started now, up to a bound.
+    """Start queued tasks, up to a limit per service.
 
-    :returns: what the first job that was left for another turn can expect; None:
-        none was left.
+    :param now: time in seconds.
+    :returns: the most urgent lateness class among the jobs left for the next turn;
+        None: none was left.
     """
-    left: list[Lateness] = []
+    remaining: list[Lateness] = []
     for service, queue in tables.queue_by_service.items():
         index = tables.index_by_service.get(service)
         if not queue or index is None:
@@ -36,8 +37,8 @@
         if index.largest_free_cpu_millis(is_usable) >= queue.least_cpu_millis:
             first = _start_in_order(tables, ports, queue, index, is_usable, now)
             if first is not None:
-                left.append(queue_key(first, now).lateness)
-    return min(left, default=None)
+                remaining.append(queue_key(first, now).lateness)
+    return min(remaining, default=None)
 
 
 def _start_in_order(
@@ -48,7 +49,7 @@
     is_usable: Callable[[Target], bool],
     now: float,
 ) -> Job | None:
-    """Start tasks of the first jobs in the queue; returns the first that is left."""
+    """Start tasks of the first queued jobs; return the first job left over."""
     started_count = 0
     free_cpu = index.largest_free_cpu_millis(is_usable)
     for job in queue.in_order():
@@ -63,7 +64,7 @@
             if task.group.resources.cpu_millis > free_cpu:
                 break
             if not job.is_open(task.ref.group) or task.ref in tables.runs_by_ref:
-                # An earlier run of it may still be under way.
+                # An earlier run of this task may still be in progress.
                 continue
             run = _start(tables, ports, job, task, index, is_usable, now)
             if run is not None:
@@ -97,11 +98,12 @@
     """Return whether a task of a job may still run under an earlier leader."""
     if now >= job.hold_until:
         return False
-    # Once every target obeys this leader, its lists hold all that an earlier one
-    # started. Later in the term a target that the earlier one reached may have left
-    # the directory here, behind a cut that has healed since.
-    is_young = now < tables.began_at + tables.settings.handover_window_s
-    return not (tables.knows_targets and is_young and tables.all_targets_reported)
+    # Once every target obeys this leader, their lists hold all runs that an earlier
+    # leader started. Later in the term this no longer holds: a target that the earlier
+    # leader reached may have left this leader's directory during a partition that has
+    # healed since.
+    in_handover = now < tables.began_at + tables.settings.handover_window_s
+    return not (tables.knows_targets and in_handover and tables.all_targets_reported)
 
 
 def _start(
@@ -164,13 +166,13 @@
 
 
 def requeue_task(tables: Tables, ref: TaskRef) -> None:
-    """Let a task whose run is over wait for another, if its job still stands."""
+    """Queue a task whose run has ended for another run, if its job is active."""
     job = tables.jobs_by_id.get(ref.job_id)
     if job is None:
         return
     task = job.tasks_by_ref[ref]
     task.run = None
     if not task.done and task not in job.waiting:
-        # It was started before the rest of its job: the job waits for it.
+        # The task started before the rest of its job, so it also restarts first.
         job.waiting.insert(0, task)
         tables.requeue(job)
--- a/src/cassiaturn/workload/_ends.py
+++ b/src/cassiaturn/workload/_ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs: what they say of the task, its job and its target."""
+"""Applies the ends of runs to their tasks, jobs and targets."""
 
 from cassiaturn.entities import (
     EndedRun,
@@ -21,18 +21,18 @@
 )
 
 SLOWNESS_WEIGHT = 0.3
-"""Weight of one run in a target's slowness: three runs tell a target that takes
+"""Weight of one run in a target's slowness: three runs distinguish a target that takes
 four times as long from one long task."""
 
 MAX_HEALTHY_SLOWNESS = 1.5
-"""Slowness below which a target's runs tell of its kind: a sick one is no measure of
-the others."""
+"""Slowness below which a target's runs count towards expected run times and speeds: a
+degraded target says nothing about the others."""
 
 
 def apply_run_end(
     tables: Tables, ports: Ports, target: Target, ended: EndedRun, now: float
 ) -> None:
-    """Take in that a run has ended, and decide on its task."""
+    """Record that a run has ended, and complete, fail or requeue its task."""
     run = target.runs_by_ref.get(ended.ref)
     if run is not None and run.number == ended.run:
         remove_run(tables, target, run)
@@ -64,30 +64,31 @@
 
 
 def apply_unclaimed_ends(tables: Tables, ports: Ports, job: Job, now: float) -> None:
-    """Give a job the ends of its tasks that were listed before it was passed on.
+    """Apply the ends of a job's tasks that targets listed before the job.
 
-    Between a leader's last word and its successor's first list most tasks end, and a
-    target forgets an end once it is acknowledged. Started anew, those tasks cost
-    their time twice, and their callers get a late answer or none.
+    Most tasks end between the last message of a leader and the first list that its
+    successor receives, and a target forgets an end once it is acknowledged. If these
+    tasks ran again, they would take their time twice, and their callers would get a
+    late answer or none.
     """
     for task in list(job.tasks_by_ref.values()):
-        unclaimed = tables.unclaimed_ends_by_ref.pop(task.ref, None)
-        if unclaimed is None:
+        unclaimed_end = tables.unclaimed_ends_by_ref.pop(task.ref, None)
+        if unclaimed_end is None:
             continue
         job.begun = True
-        task.next_run = max(task.next_run, unclaimed.ended.run + 1)
+        task.next_run = max(task.next_run, unclaimed_end.ended.run + 1)
         ports.record(
             Event.RUN_ENDED,
             id=job.job_id,
             task=task.ref.task_index,
-            target=unclaimed.target_id,
-            end=unclaimed.ended.end,
-            age_ms=round((now - unclaimed.at) * 1000),
+            target=unclaimed_end.target_id,
+            end=unclaimed_end.ended.end,
+            age_ms=round((now - unclaimed_end.at) * 1000),
         )
-        if unclaimed.ended.end is RunEnd.DONE:
+        if unclaimed_end.ended.end is RunEnd.DONE:
             _complete(tables, ports, job, task, now)
         else:
-            _fail(tables, ports, job, task, unclaimed.target_id, now)
+            _fail(tables, ports, job, task, unclaimed_end.target_id, now)
         if job.job_id not in tables.jobs_by_id:
             return
 
@@ -102,7 +103,7 @@
 
 
 def remove_run(tables: Tables, target: Target, run: Run) -> None:
-    """Count a run as certainly over."""
+    """Remove a run that has certainly ended, and free its resources."""
     del target.runs_by_ref[run.ref]
     if tables.runs_by_ref.get(run.ref) is run:
         del tables.runs_by_ref[run.ref]
@@ -129,7 +130,7 @@
 
 
 def _record_target_paces(tables: Tables, ports: Ports, job: Job) -> None:
-    """Take in what the tasks of a complete job tell of their targets' speeds."""
+    """Update the speeds of targets from the run times of a complete job."""
     expected = tables.expected
     name = job.route.name
     runs = [
@@ -154,7 +155,10 @@
 
 
 def update_slowness(target: Target, job: Job, run_s: float) -> None:
-    """Take in how long a run took, or will take, on a target."""
+    """Update a target's slowness from the actual or predicted time of a run.
+
+    :param run_s: length of the run, or a lower bound of it, in seconds.
+    """
     ratio = run_s / max(job.expected_run_s, 1e-3)
     target.slowness += SLOWNESS_WEIGHT * (min(ratio, 10.0) - target.slowness)
     target.note_change()
--- a/src/cassiaturn/workload/_intake.py
+++ b/src/cassiaturn/workload/_intake.py
@@ -1,4 +1,4 @@
-"""Submissions: joined to the job they repeat, refused, or queued."""
+"""Handles submissions: joins resubmissions, refuses jobs or queues them."""
 
 from dataclasses import dataclass
 
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Submission:
-    """A job as a member passes it on."""
+    """A job as a member of the fleet passes it on to the leader."""
 
     request: JobRequest
     """What the caller asked for."""
 
     route: Route
-    """The queue that it came by."""
+    """The route by which it came."""
 
     origin: str
-    """Member whose caller waits."""
+    """Member whose caller waits for it."""
 
     waited_s: float
     """Time since the caller sent it, in seconds."""
@@ -44,37 +44,38 @@
     """Time until its caller stops waiting, in seconds from now."""
 
     begun_earlier: bool = False
-    """Whether an earlier leader had it, so that tasks of it may run."""
+    """Whether an earlier leader had it, so that tasks of it may be running."""
 
     failure_domain: str = ""
-    """Where that member runs; empty: not known."""
+    """Failure domain of that member; empty: not known."""
 
     is_confirmed: bool = True
-    """Whether it may be started at once; else :func:`confirm` says so later."""
+    """Whether it may be started at once; otherwise :func:`confirm` allows it later."""
 
 
 def submit(
     tables: Tables, ports: Ports, submission: Submission, now: float
 ) -> Outcome | None:
-    """Take a submission in.
+    """Accept, join or refuse a submission.
 
-    :returns: its outcome if that is known at once; None: it follows.
+    :param now: time in seconds.
+    :returns: its outcome if that is known at once; None: it follows later.
     """
     job_id = submission.request.job_id
     job = tables.jobs_by_id.get(job_id)
     if job is not None:
-        # The caller lost its connection and came by another member. Joining keeps
-        # one job; starting it afresh would run its tasks twice at once.
+        # The caller lost its connection and came back through another member. Starting
+        # the job anew would run its tasks twice at the same time.
         _join(tables, job, submission, now)
         ports.record(Event.JOB_JOINED, id=job_id, origin=submission.origin)
         return None
-    retired = tables.ended_jobs_by_id.pop(job_id, None)
-    known = retired.outcome if retired is not None else None
-    if retired is not None and known is not None and _is_final(known):
-        tables.ended_jobs_by_id[job_id] = retired
+    ended_job = tables.ended_jobs_by_id.pop(job_id, None)
+    known_outcome = ended_job.outcome if ended_job is not None else None
+    if ended_job is not None and known_outcome is not None and _is_final(known_outcome):
+        tables.ended_jobs_by_id[job_id] = ended_job
         ports.record(Event.JOB_REPEATED, id=job_id, origin=submission.origin)
-        return known
-    job = _make_job(tables, submission, now, retired.next_run if retired else 0)
+        return known_outcome
+    job = _make_job(tables, submission, now, ended_job.next_run if ended_job else 0)
     has_begun = submission.begun_earlier or _has_ended_tasks(tables, job)
     refusal = None if has_begun else _refusal(tables, job, now)
     if refusal is not None:
@@ -102,7 +103,7 @@
 
 
 def _join(tables: Tables, job: Job, submission: Submission, now: float) -> None:
-    """Take in that a caller of another request waits for a job, too."""
+    """Add another waiting caller to a job."""
     job.origins.add(submission.origin)
     job.is_confirmed |= submission.is_confirmed or submission.begun_earlier
     if submission.begun_earlier and not job.begun:
@@ -121,9 +122,9 @@
 
 
 def confirm(tables: Tables, job_id: str) -> bool:
-    """Take in that a job may be started.
+    """Allow a job to be started.
 
-    :returns: whether that is news.
+    :returns: whether it was not allowed before.
     """
     job = tables.jobs_by_id.get(job_id)
     if job is None or job.is_confirmed:
@@ -133,7 +134,7 @@
 
 
 def cancel(tables: Tables, ports: Ports, job_id: str, origin: str, now: float) -> bool:
-    """Take back one member's interest in a job; without any, it ends.
+    """Remove one member from a job's origins; the job ends with the last one.
 
     :returns: whether the job was known.
     """
@@ -153,13 +154,13 @@
 
 
 def on_member_gone(tables: Tables, ports: Ports, member: str, now: float) -> None:
-    """End the jobs of a member that is gone or cut off.
+    """End the jobs of a member that is gone or partitioned.
 
-    Its callers submit again elsewhere after a pause. What it left must be over by
-    then, or their jobs would run twice at once.
+    Its callers submit again elsewhere after a pause. Its runs must have ended by then,
+    or their tasks would run twice at the same time.
     """
-    mine = [job for job in tables.jobs_by_id.values() if member in job.origins]
-    for job in mine:
+    member_jobs = [job for job in tables.jobs_by_id.values() if member in job.origins]
+    for job in member_jobs:
         cancel(tables, ports, job.job_id, member, now)
 
 
@@ -171,7 +172,7 @@
 def _is_final(outcome: Outcome) -> bool:
     """Return whether a late resubmission gets this answer again.
 
-    A refused job never ran, and one that was given up may be tried afresh.
+    A refused job never ran, and an abandoned one may be tried again.
     """
     return outcome.verdict in (Verdict.COMPLETED, Verdict.FAILED)
 
@@ -186,12 +187,14 @@
     ]
     chain_s = longest_chain_s(request.groups, group_runs)
     arrived_at = now - submission.waited_s
-    first_run = max(next_run, tables.term * tables.settings.run_numbers_per_term + 1)
+    first_run_number = max(
+        next_run, tables.term * tables.settings.run_numbers_per_term + 1
+    )
     tasks = [
         Task(
             ref=TaskRef(request.job_id, 0, position, index),
             group=group,
-            next_run=first_run,
+            next_run=first_run_number,
         )
         for position, group in enumerate(request.groups)
         for index in range(group.count)
@@ -223,7 +226,7 @@
 
 
 def _refusal(tables: Tables, job: Job, now: float) -> Outcome | None:
-    """Return why a job cannot be served, if that is known at once."""
+    """Return a refusal if a job cannot be served in time; None: it may be."""
     settings = tables.settings
     if not tables.targets_by_id and now < tables.began_at + settings.directory_wait_s:
         return None
@@ -242,7 +245,7 @@
 
 
 def has_target(tables: Tables, service: str) -> bool:
-    """Return whether any target of a service takes work."""
+    """Return whether any target of a service accepts new work."""
     return any(
         target.service == service and not target.leaving
         for target in tables.targets_by_id.values()
@@ -250,8 +253,9 @@
 
 
 def make_refusal(reason: str, job: Job, retry_after_s: float) -> Outcome:
-    """Return a refusal that tells its caller when to come back.
+    """Return a refusal that tells its caller when to retry.
 
+    :param reason: the rule that decided, as logged.
     :param retry_after_s: when there may be room, in seconds.
     """
     return Outcome(
@@ -262,7 +266,7 @@
 
 
 def _adopt_listed_runs(tables: Tables, job: Job) -> None:
-    """Take over what targets have listed of the job already."""
+    """Assign runs that targets have already listed to the tasks of a job."""
     for task in list(job.waiting):
         run = tables.runs_by_ref.get(task.ref)
         if run is None or run.state is RunState.STOPPING:
@@ -271,7 +275,7 @@
 
 
 def adopt_run(tables: Tables, job: Job, task: Task) -> None:
-    """Make the run that a target listed the task's own."""
+    """Assign a run that a target listed to its task."""
     run = tables.runs_by_ref[task.ref]
     task.assign_run(run)
     task.next_run = max(task.next_run, run.number + 1)
--- a/src/cassiaturn/workload/_job_timing.py
+++ b/src/cassiaturn/workload/_job_timing.py
@@ -1,41 +1,42 @@
-"""Where the time of a job went: waits, lost runs, slow targets, or its own length."""
+"""Breaks the time of a job down: waits, lost runs, slow targets, run time."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from cassiaturn.workload._tables import Job, Tables, Target, Task
 
-FAST_TARGET_RATIO = 0.25
-"""Part of the targets that count as fast: the one that seems the fastest of all is the
-one whose speed is known the least."""
+FAST_TARGETS_SHARE = 0.25
+"""Part of the targets that count as fast. The fastest target of all is not the
+reference, because the one that seems fastest is the one whose speed is least
+certain."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TaskTiming:
-    """What one task took of its caller's time, all in seconds."""
+    """How one task used its caller's time; all times in seconds."""
 
     task_index: int
-    """Its index in its group."""
+    """Index of the task in its group."""
 
     target_id: str
-    """Where its last run was; empty: it never began."""
+    """Target of its last run; empty: it never began."""
 
     start_s: float
-    """From the caller's request to the start of its last run, or until now."""
+    """From the caller's request to the start of its last run; until now if it waits."""
 
     lost_s: float
-    """From the start of its first run to that of its last: what went by on runs that
-    were lost, and between them."""
+    """From the start of its first run to the start of its last: time spent on lost runs
+    and between them."""
 
     run_s: float
-    """Length of its last run; of one that is not over, what is known of it at least."""
+    """Length of its last run; a lower bound if that run has not ended."""
 
     slower: float
-    """Run times on that target over those on fast ones; 1.0 where unknown."""
+    """Ratio of the run times on that target to those on fast targets; 1.0: unknown."""
 
     @property
     def end_s(self) -> float:
-        """From the caller's request to its end, at least."""
+        """Time from the caller's request to the task's end, at least."""
         return self.start_s + self.run_s
 
     @property
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobTiming:
-    """What the tasks of a job took."""
+    """How the tasks of a job used its caller's time."""
 
     critical: TaskTiming
     """The task that ends last."""
@@ -55,26 +56,27 @@
     """From the caller's request to the first start of a task, in seconds."""
 
     fastest_s: float
-    """Longest run of a task, had each been on a fast target, in seconds. Nobody can
-    serve a job for which this alone is above the caller's limit."""
+    """Length of its longest task run if every task ran on a fast target, in seconds. A
+    job for which this alone exceeds the caller's limit cannot be served."""
 
     work_cpu_s: float
-    """Processor time of its tasks on fast targets, in core-seconds. A task that is not
-    done counts for as long as the longest of its job of which something is known."""
+    """CPU time of its tasks on fast targets, in core-seconds. A task that is not done
+    counts for at least as long as the longest task of the job that is done or has
+    a lower bound by its progress."""
 
 
 def job_timing(tables: Tables, job: Job, now: float) -> JobTiming:
-    """Return what the tasks of a job took, or will take at least.
+    """Return the timing of a job's tasks; lower bounds for those not done.
 
     :param now: time in seconds.
     """
-    fast = _fast_ratio(tables, job.route.service)
+    fast_ratio = _fast_ratio(tables, job.route.service)
     tasks = list(job.tasks_by_ref.values())
-    timings = [_task_timing(tables, job, task, fast, now) for task in tasks]
-    begun = [task.first_started_at for task in tasks if task.first_started_at]
+    timings = [_task_timing(tables, job, task, fast_ratio, now) for task in tasks]
+    first_starts = [task.first_started_at for task in tasks if task.first_started_at]
     return JobTiming(
         critical=max(timings, key=lambda timing: timing.end_s),
-        first_start_s=min(begun, default=now) - job.arrived_at,
+        first_start_s=min(first_starts, default=now) - job.arrived_at,
         fastest_s=max(timing.fastest_s for timing in timings),
         work_cpu_s=_work_cpu_s(job, tasks, timings),
     )
@@ -98,17 +100,17 @@
 
 
 def _fast_ratio(tables: Tables, service: str) -> float:
-    """Return the run times of the service's fast targets over the expected ones."""
+    """Return the ratio of actual to expected run times on fast targets."""
     ratios = sorted(
         target.pace.ratio
         for target in tables.targets_by_id.values()
         if target.service == service and not target.silent
     )
-    return ratios[int(FAST_TARGET_RATIO * len(ratios))] if ratios else 1.0
+    return ratios[int(FAST_TARGETS_SHARE * len(ratios))] if ratios else 1.0
 
 
 def _task_timing(
-    tables: Tables, job: Job, task: Task, fast: float, now: float
+    tables: Tables, job: Job, task: Task, fast_ratio: float, now: float
 ) -> TaskTiming:
     target = tables.targets_by_id.get(task.last_target_id)
     run = task.run
@@ -123,14 +125,14 @@
         start_s=started_at - job.arrived_at,
         lost_s=started_at - (task.first_started_at or started_at),
         run_s=0.0 if is_waiting else length_s,
-        slower=_slowdown(target, fast),
+        slower=_slowdown(target, fast_ratio),
     )
 
 
-def _slowdown(target: Target | None, fast: float) -> float:
-    """Return run times on a target over those on fast ones."""
+def _slowdown(target: Target | None, fast_ratio: float) -> float:
+    """Return the ratio of run times on a target to those on fast targets."""
     if target is None:
         return 1.0
-    # Runs on a target that is sick tell nothing of its pace.
-    sick = target.slowness if target.is_slow else 1.0
-    return max(1.0, target.pace.ratio / fast, sick)
+    # Runs on a degraded target say nothing about its usual speed.
+    degradation = target.slowness if target.is_slow else 1.0
+    return max(1.0, target.pace.ratio / fast_ratio, degradation)
--- a/src/cassiaturn/workload/_ports.py
+++ b/src/cassiaturn/workload/_ports.py
@@ -1,4 +1,4 @@
-"""What the systems of a leader ask of the process around them."""
+"""Interface through which the scheduling functions call the process."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -13,38 +13,38 @@
     """An order to start a task."""
 
     target_id: str
-    """Where."""
+    """Target that is to run the task."""
 
     ref: TaskRef
-    """Which task."""
+    """The task."""
 
     number: int
-    """Number of the start."""
+    """Run number of this start."""
 
     payload: str
-    """What the task is told to do."""
+    """Input of the task."""
 
     checkpoint: str = ""
-    """Progress to resume from; empty: none."""
+    """Checkpoint to resume from; empty: none."""
 
     ticket: str = ""
-    """Leave to start there, where one is needed; empty: none is."""
+    """Permission to start on that target, where one is needed; empty: none is."""
 
 
 class Ports(Protocol):
-    """Sends orders and answers; the process or a test implements it.
+    """Sends orders and answers; implemented by the process or a test.
 
-    No method waits: what becomes of an order is told to the systems later.
+    No method blocks: the result of an order arrives later as a separate event.
     """
 
     def start(self, order: StartOrder) -> None:
         """Order a start."""
 
     def stop(self, run: Run) -> None:
-        """Order a run to be stopped."""
+        """Order a run to stop."""
 
     def finish(self, job: Job, outcome: Outcome) -> None:
         """Tell the members whose callers wait for a job how it ended."""
 
     def record(self, event: Event, **fields: object) -> None:
-        """Log a decision."""
+        """Log an event."""
--- a/src/cassiaturn/workload/_reports.py
+++ b/src/cassiaturn/workload/_reports.py
@@ -1,4 +1,4 @@
-"""What targets answer to orders, and what they list."""
+"""Processes the answers of targets to orders, and their lists of runs."""
 
 from cassiaturn.entities import (
     LeaseReport,
@@ -35,9 +35,11 @@
     *,
     clock_ms: int | None = None,
 ) -> None:
-    """Take in what became of an order to start.
+    """Process a target's answer to an order to start.
 
-    :param clock_ms: what the target's clock showed when it answered.
+    :param number: run number of the start.
+    :param now: time in seconds.
+    :param clock_ms: the target's clock when it answered, in milliseconds.
     """
     target = tables.targets_by_id.get(target_id)
     run = target.runs_by_ref.get(ref) if target is not None else None
@@ -56,7 +58,7 @@
         age_ms=round((now - run.started_at) * 1000),
     )
     if answer is StartAnswer.UNKNOWN:
-        # It may begin at any time until its lease would have run out. An order to
+        # The run may begin at any time until its lease would have expired. An order to
         # stop makes the target refuse it from then on.
         if run.state is RunState.STARTING:
             run.state = RunState.UNCERTAIN
@@ -74,7 +76,7 @@
 def on_stop_answer(
     tables: Tables, target_id: str, ref: TaskRef, number: int, now: float
 ) -> None:
-    """Take in that a target has obeyed an order to stop."""
+    """Record that a target has carried out an order to stop."""
     target = tables.targets_by_id.get(target_id)
     run = target.runs_by_ref.get(ref) if target is not None else None
     if run is not None and run.number == number:
@@ -91,9 +93,10 @@
     asked_at: float,
     now: float,
 ) -> None:
-    """Take in what runs and what has ended on a target.
+    """Process a target's list of current and ended runs.
 
-    :param asked_at: when the request was sent that this answers, in seconds.
+    :param asked_at: when the request for this list was sent, in seconds.
+    :param now: time in seconds.
     """
     target = tables.targets_by_id.get(target_id)
     if target is None:
@@ -113,7 +116,7 @@
         if not _apply_listing(tables, ports, target, listing, report.clock_ms, now):
             unexpected += 1
     if asked_at >= target.list_requested_at:
-        # Lists overtake each other: an older one does not tell what runs now.
+        # Lists can arrive out of order; an older one does not tell what runs now.
         target.list_requested_at = asked_at
         target.unexpected_runs = unexpected
     for run in list(target.runs_by_ref.values()):
@@ -133,13 +136,13 @@
     clock_ms: int,
     now: float,
 ) -> bool:
-    """Take in one row of a list; returns whether that run is the task's own."""
+    """Apply one entry of a list; return whether that run belongs to its task."""
     run = target.runs_by_ref.get(listing.ref)
     if run is not None and run.number == listing.run:
         _apply_progress(tables, target, run, listing, clock_ms, now)
         return True
-    other = tables.runs_by_ref.get(listing.ref)
-    found = Run(
+    other_run = tables.runs_by_ref.get(listing.ref)
+    listed_run = Run(
         ref=listing.ref,
         number=listing.run,
         target_id=target.target_id,
@@ -153,8 +156,8 @@
         percent=listing.percent,
         progress_changed_at=now,
     )
-    if run is not None or other is not None:
-        # A start that was carried out late, beside the run that took its place.
+    if run is not None or other_run is not None:
+        # A start was carried out late, after another run had replaced it.
         ports.record(
             Event.RUN_UNEXPECTED,
             id=listing.ref.job_id,
@@ -162,16 +165,16 @@
             run=listing.run,
             target=target.target_id,
         )
-        ports.stop(found)
+        ports.stop(listed_run)
         return False
-    target.runs_by_ref[found.ref] = found
-    tables.runs_by_ref[found.ref] = found
-    job = tables.jobs_by_id.get(found.ref.job_id)
-    task = job.tasks_by_ref.get(found.ref) if job is not None else None
+    target.runs_by_ref[listed_run.ref] = listed_run
+    tables.runs_by_ref[listed_run.ref] = listed_run
+    job = tables.jobs_by_id.get(listed_run.ref.job_id)
+    task = job.tasks_by_ref.get(listed_run.ref) if job is not None else None
     if job is not None and task is not None and task in job.waiting:
         adopt_run(tables, job, task)
     elif now > tables.began_at + tables.settings.orphan_grace_s:
-        stop(tables, ports, found, now)
+        stop(tables, ports, listed_run, now)
     return True
 
 
@@ -188,8 +191,8 @@
         return
     run.percent = listing.percent
     run.progress_changed_at = now
-    # By the target's clock: a busy leader reads a list some time after it was made, and
-    # would take the run for longer than it is.
+    # Measured by the target's clock: a busy leader reads a list some time after it was
+    # made, and by its own clock would overestimate the run's length.
     elapsed_s = (
         (clock_ms - first_seen_clock_ms)
         / MILLISECONDS_PER_SECOND
@@ -203,7 +206,7 @@
 
 
 def _acknowledge_run(run: Run, clock_ms: int | None, now: float) -> int:
-    """Take in that a target has a run; returns its clock when that was first known."""
+    """Record that a target has a run; return its clock when it first showed it."""
     run.last_reported_at = now
     run.is_acknowledged = True
     if run.state is RunState.STARTING:
@@ -249,7 +252,7 @@
 
 
 def _raise_next_run(tables: Tables, ref: TaskRef) -> None:
-    """Move the next run's number above what an earlier leader may have used."""
+    """Raise the next run number above those that an earlier leader may have used."""
     job = tables.jobs_by_id.get(ref.job_id)
     if job is not None:
         job.tasks_by_ref[ref].next_run += tables.settings.run_numbers_per_term
--- a/src/cassiaturn/workload/_settle.py
+++ b/src/cassiaturn/workload/_settle.py
@@ -1,4 +1,4 @@
-"""How a job ends: one outcome, and nothing of it left to run."""
+"""Ends a job: records its one outcome and stops its remaining runs."""
 
 from cassiaturn.observability import Event
 from cassiaturn.workload._job_timing import job_timing
@@ -17,7 +17,7 @@
 def settle(
     tables: Tables, ports: Ports, job: Job, outcome: Outcome, now: float
 ) -> None:
-    """Give a job its outcome and stop what still runs of it."""
+    """Send a job's outcome to its callers and stop its remaining runs."""
     _count_outcome(tables, outcome)
     ports.finish(job, outcome)
     ports.record(
@@ -67,9 +67,9 @@
 def remove_ended_job(
     tables: Tables, ports: Ports, job: Job, outcome: Outcome | None, now: float
 ) -> None:
-    """Take a job out of the tables, and stop what still runs of it.
+    """Remove a job from the tables and stop its remaining runs.
 
-    :param outcome: what a late resubmission is told; None: it runs again.
+    :param outcome: the answer to a late resubmission; None: the job runs again.
     """
     tables.remove_job(job)
     next_run = max(task.next_run for task in job.tasks_by_ref.values())
@@ -82,7 +82,7 @@
 
 
 def stop(tables: Tables, ports: Ports, run: Run, now: float) -> None:
-    """Order a run to be stopped; it counts as running until it is over."""
+    """Order a run to stop; it counts as running until its end is confirmed."""
     run.state = RunState.STOPPING
     run.order_sent_at = now
     tables.counters.stops += 1
--- a/src/cassiaturn/workload/_tables.py
+++ b/src/cassiaturn/workload/_tables.py
@@ -1,4 +1,4 @@
-"""The rows that a leader keeps: jobs, tasks, runs, targets."""
+"""State of a leader: jobs, tasks, runs and targets."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -26,20 +26,20 @@
 
 
 class Verdict(Enum):
-    """How a job ended, for its caller."""
+    """How a job ended, as its caller is told."""
 
     COMPLETED = auto()
     """Every task is done."""
 
     FAILED = auto()
-    """A task of it failed as often as its route allows."""
+    """One of its tasks failed as often as its route allows."""
 
     REFUSED = auto()
-    """No task of it was started, and none will be for this submission."""
+    """None of its tasks was started, and none will be for this submission."""
 
     ABANDONED = auto()
-    """It was begun and is given up, or whoever looked after it is gone. Its caller
-    may submit it again after a pause that outlasts what still runs."""
+    """It was started and then given up, or its leader is unreachable. Its caller may
+    submit it again after a pause long enough for its remaining runs to end."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,122 +50,124 @@
     """How it ended."""
 
     reason: str
-    """The rule that decided, as it stands in the log."""
+    """The rule that decided, as logged."""
 
     retry_after_s: float = 0.0
-    """When to come back, in seconds; 0: coming back does not help."""
+    """When to retry, in seconds from now; 0: a retry does not help."""
 
 
 class RunState(Enum):
-    """Where a run stands, as far as the leader knows."""
+    """State of a run as far as the leader knows."""
 
     STARTING = auto()
-    """The order was sent; no answer yet."""
+    """The order to start was sent and not answered yet."""
 
     RUNNING = auto()
     """Its target confirmed or listed it."""
 
     UNCERTAIN = auto()
-    """The order got no answer: it may run, or begin later."""
+    """The order to start got no answer: the task may run, or start later."""
 
     STOPPING = auto()
-    """Nobody wants it; its target was told."""
+    """It is no longer needed, and its target was ordered to stop it."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Run:
-    """One start of a task, until it is certainly over."""
+    """One attempt to run a task, until it has certainly ended."""
 
     ref: TaskRef
-    """Which task."""
+    """The task."""
 
     number: int
-    """Number of the start; rises with every start of the task."""
+    """Run number; rises with every start of the task."""
 
     target_id: str
-    """Where."""
+    """Target on which it runs."""
 
     group: TaskGroup | None
-    """What it takes; None: listed by a target, of a job unknown here."""
+    """Group that tells its resources; None: a target listed it and its job is
+    unknown."""
 
     state: RunState
-    """Where it stands."""
+    """Its state."""
 
     started_at: float
-    """When the order was sent, or the run first seen, in seconds."""
+    """When the order to start was sent, or the run first listed, in seconds."""
 
     last_reported_at: float
-    """Time of the last answer about it, in seconds."""
+    """Time of the target's last answer about it, in seconds."""
 
     is_adopted: bool = False
     """Whether an earlier leader started it, so that its length is not known."""
 
     is_acknowledged: bool = False
-    """Whether its target has answered an order about it, or listed it. From then on
-    a list that was asked for later and leaves it out proves that it is over; before,
-    the order to start it may still be on its way."""
+    """Whether its target has answered an order about it, or listed it. From then on it
+    has ended if a list that was requested later leaves it out; before that, the order
+    to start may still be in transit."""
 
     first_seen_clock_ms: int | None = None
-    """What its target's clock showed when it confirmed or first listed the run, in
-    milliseconds; None: it has not."""
+    """Its target's clock when the target confirmed or first listed the run, in
+    milliseconds; None: neither has happened."""
 
     percent: int = 0
-    """Share of its work that is done, as last listed."""
+    """Share of its work that is done, in percent, as last listed."""
 
     least_run_s: float = 0.0
-    """Lower bound of its whole length by its progress, in seconds; 0: not known."""
+    """Lower bound of its total length, derived from its progress, in seconds; 0:
+    unknown."""
 
     progress_changed_at: float = 0.0
-    """When that share last changed, in seconds."""
+    """When its progress last changed, in seconds."""
 
     order_sent_at: float = 0.0
     """When the last order to stop it was sent, in seconds."""
 
     @property
     def group_key(self) -> GroupKey:
-        """The group that it belongs to."""
+        """Key of its group."""
         return GroupKey(self.ref.job_id, self.ref.occurrence, self.ref.group)
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Task:
-    """One task of a job that is not over."""
+    """One task of a job that has not ended."""
 
     ref: TaskRef
-    """Which task."""
+    """Its reference."""
 
     group: TaskGroup
-    """What it asks for."""
+    """Its group, which tells its resources."""
 
     next_run: int
-    """Number of its next start."""
+    """Run number of its next start."""
 
     failures: int = 0
-    """Runs that ended as failed."""
+    """Number of its runs that ended as failed."""
 
     run: Run | None = None
-    """Its run; None: it waits."""
+    """Its current run; None: it waits or is done."""
 
     done: bool = False
-    """Whether a run of it is done."""
+    """Whether one of its runs has completed."""
 
     first_started_at: float = 0.0
-    """When its first run began, in seconds; 0: none has."""
+    """When its first run started, in seconds; 0: none has."""
 
     last_started_at: float = 0.0
-    """When its last run began, in seconds; 0: none has."""
+    """When its last run started, in seconds; 0: none has."""
 
     last_target_id: str = ""
-    """Where its last run was, or is; empty: none began."""
+    """Target of its last or current run; empty: none has started."""
 
     length_s: float = 0.0
-    """How long the run took that is done, in seconds; 0: none is."""
+    """Length of its completed run, in seconds; 0: not known."""
 
     avoided: frozenset[str] = frozenset()
-    """Targets that failed it."""
+    """Ids of targets on which it failed or stalled."""
 
     def assign_run(self, run: Run) -> None:
-        """Make a run the task's own."""
+        """Set the task's current run."""
         self.run = run
         self.first_started_at = self.first_started_at or run.started_at
         self.last_started_at = run.started_at
@@ -180,13 +182,13 @@
     """What its caller asked for."""
 
     route: Route
-    """The queue that it came by, as configured at that time."""
+    """The route by which it came, as configured at that time."""
 
     arrived_at: float
     """When its caller sent it, in seconds."""
 
     deadlines: Deadlines
-    """Until when its answer is worth what."""
+    """Times until which its answer is on time, useful, and still awaited."""
 
     expected_run_s: float
     """Expected length of its longest chain of tasks, in seconds."""
@@ -195,30 +197,30 @@
     """Members whose callers wait for it."""
 
     tasks_by_ref: dict[TaskRef, Task]
-    """Every task."""
+    """Every task of the job."""
 
     waiting: list[Task]
-    """Tasks without a run, in order."""
+    """Tasks without a run, in start order."""
 
     remaining_by_group: list[int]
-    """Tasks of each group that are not done."""
+    """Number of tasks of each group that are not done."""
 
     least_cpu_millis: int
-    """Least that a task of it asks for, in thousandths of a core."""
+    """Least CPU that one of its tasks needs, in thousandths of a core."""
 
     hold_until: float = 0.0
-    """Before this time a task may still run under an earlier leader, unless every
-    target is heard; in seconds."""
+    """Until then one of its tasks may still run under an earlier leader, unless every
+    target has reported; in seconds."""
 
     failure_domain: str = ""
-    """Where the member runs that passed it on first; empty: not known."""
+    """Failure domain of the member that first passed it on; empty: not known."""
 
     is_confirmed: bool = True
-    """Whether it may be started. The member of a caller tells a later leader that a job
-    which it has not confirmed never began."""
+    """Whether it may be started. If it is not confirmed, its caller's member tells a
+    later leader that the job never began."""
 
     begun: bool = False
-    """Whether a start of it was ever sent, so that "not run" would be untrue."""
+    """Whether a start was ever ordered, so that it must not be reported as not run."""
 
     @property
     def job_id(self) -> str:
@@ -227,22 +229,22 @@
 
     @property
     def priority(self) -> int:
-        """Of its route; 0 goes first."""
+        """Priority of its route; 0 goes first."""
         return self.route.priority
 
     @property
     def is_new(self) -> bool:
-        """Whether none of its tasks has started, or all have to start again."""
+        """Whether none of its tasks has a run or is done."""
         return len(self.waiting) == len(self.tasks_by_ref)
 
     @property
     def has_waiting(self) -> bool:
-        """Whether a task of it waits."""
+        """Whether any of its tasks waits."""
         return bool(self.waiting)
 
     @property
     def waiting_cpu_millis(self) -> int:
-        """What its waiting tasks ask for together, in thousandths of a core."""
+        """Total CPU that its waiting tasks need, in thousandths of a core."""
         return sum(task.group.resources.cpu_millis for task in self.waiting)
 
     @property
@@ -255,53 +257,53 @@
 
     @property
     def remaining(self) -> int:
-        """Tasks that are not done."""
+        """Number of tasks that are not done."""
         return sum(self.remaining_by_group)
 
     def is_open(self, group: int) -> bool:
-        """Return whether all groups that a group waits for are done."""
+        """Return whether all groups that a group depends on are done."""
         after = self.request.groups[group].after
         return all(self.remaining_by_group[earlier] == 0 for earlier in after)
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Target(SharedTarget):
-    """A target of the leader's, with what runs there."""
+    """A target that this leader uses, with its runs."""
 
     service: str
-    """Service that it belongs to."""
+    """Name of its service."""
 
     runs_by_ref: dict[TaskRef, Run] = field(default_factory=dict)
-    """What runs there, or may."""
+    """Runs that are, or may be, on it."""
 
     leaving: bool = False
-    """It finishes what it runs and takes nothing new."""
+    """Whether it is draining: it finishes its runs and takes no new ones."""
 
     has_reported: bool = False
-    """Whether it has told this leader what it runs, and has answered since. While it
-    has not, another leader may have tasks run there."""
+    """Whether it has listed its runs to this leader and was not lost since. Until then
+    another leader may start tasks there."""
 
     silent: bool = False
-    """It does not answer; what runs there ends with its lease."""
+    """Whether it does not answer; its runs end when its lease expires."""
 
     paused_until: float = 0.0
-    """It gets no start before, in seconds."""
+    """Time before which it gets no start, in seconds."""
 
     failures_in_row: int = 0
-    """Runs that failed there since the last success."""
+    """Number of runs that failed there since the last success."""
 
     ended_seen: int = 0
-    """Sequence of the last end that was taken in."""
+    """Sequence number of the last end that was processed."""
 
     unexpected_runs: int = 0
-    """Second runs of tasks, told to stop, in the last list."""
+    """Number of duplicate runs of tasks in the last list, all ordered to stop."""
 
     list_requested_at: float = 0.0
-    """When the last list that was taken in was asked for, in seconds."""
+    """When the last list that was processed was requested, in seconds."""
 
     @property
     def usage_is_known(self) -> bool:
-        """Whether all that runs there, or may, is counted with what it takes."""
+        """Whether the resources of all runs there, certain or possible, are known."""
         return not self.unexpected_runs and all(
             run.group is not None for run in self.runs_by_ref.values()
         )
@@ -309,13 +311,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndedJob:
-    """What is remembered of a job that has ended."""
+    """What is kept of a job that has ended."""
 
     outcome: Outcome | None
-    """Its final answer; None: its caller left, so that it may run again."""
+    """Its outcome; None: its caller left, so that it may run again."""
 
     next_run: int
-    """Above the number of every run of it."""
+    """A run number above those of all its runs."""
 
     at: float
     """When it ended, in seconds."""
@@ -323,13 +325,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UnclaimedEnd:
-    """The end of a run whose job nobody has passed on to this leader yet."""
+    """The end of a run of a job that no member has passed on to this leader yet."""
 
     ended: EndedRun
-    """How it ended."""
+    """The run and how it ended."""
 
     target_id: str
-    """Where."""
+    """Target on which it ran."""
 
     at: float
     """When it was listed, in seconds."""
@@ -337,7 +339,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UsableCpu:
-    """What the usable targets of a service had in all."""
+    """Total CPU of the usable targets of a service."""
 
     cpu_millis: int
     """In thousandths of a core."""
@@ -348,25 +350,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """What a leader did, for its metrics."""
+    """Counters for a leader's metrics."""
 
     starts: int = 0
-    """Orders to start."""
+    """Orders to start that were sent."""
 
     refused_starts: int = 0
     """Orders to start that a target refused."""
 
     stops: int = 0
-    """Orders to stop."""
+    """Orders to stop that were sent, without repetitions."""
 
     lost_runs: int = 0
-    """Runs that ended with their target or its lease."""
+    """Runs that ended because their target was lost or no longer listed them."""
 
     completed: int = 0
-    """Jobs whose every task was done."""
+    """Jobs whose tasks were all done."""
 
     failed: int = 0
-    """Jobs that were begun and given up."""
+    """Jobs that failed or were abandoned after their start."""
 
     refused: int = 0
     """Jobs refused before anything started."""
@@ -374,92 +376,96 @@
 
 @dataclass(slots=True, kw_only=True)
 class Tables:
-    """Everything that the systems of a leader run over."""
+    """All state on which the scheduling functions of a leader work."""
 
     settings: WorkloadSettings
-    """Times and limits."""
+    """Time limits."""
 
     term: int
-    """Which leadership this is; a later one has a higher number."""
+    """Term of this leadership; a later one has a higher number."""
 
     began_at: float
-    """When it began, in seconds."""
+    """When this term began, in seconds."""
 
     knows_targets: bool = False
-    """Whether it began with every target that its predecessor gave orders to."""
+    """Whether it began with all targets to which its predecessor gave orders, and has
+    since removed none on which another leader may start tasks."""
 
     jobs_by_id: dict[str, Job] = field(default_factory=dict)
-    """Jobs without an outcome; added, changed and removed by the methods below."""
+    """Jobs without an outcome; add, requeue and remove them by the methods below."""
 
     queue_by_service: dict[str, JobQueue[Job]] = field(default_factory=dict)
-    """Jobs with tasks to start, in order."""
+    """Jobs with tasks to start, in queue order."""
 
     usable_cpu_by_service: dict[str, UsableCpu] = field(default_factory=dict)
-    """Processors of each service's usable targets, counted lately."""
+    """Cached CPU of each service's usable targets."""
 
     unreached_since_by_service: dict[str, float] = field(default_factory=dict)
-    """Since when no target of a service answers, in seconds; not there: one does."""
+    """Since when no target of a service has answered, in seconds; absent: one does."""
 
     ended_jobs_by_id: "OrderedDict[str, EndedJob]" = field(default_factory=OrderedDict)
-    """Jobs that ended lately, oldest first."""
+    """Jobs that ended recently, oldest first."""
 
     targets_by_id: dict[str, Target] = field(default_factory=dict)
-    """Every target of the directory; added and removed by the methods below."""
+    """All targets of the directory; add and remove them by the methods below."""
 
     index_by_service: dict[str, TargetIndex[Target]] = field(default_factory=dict)
-    """The targets of each service, by what they have free."""
+    """Targets of each service, indexed by their free resources."""
 
     speeds_by_service: dict[str, SpeedBook] = field(default_factory=dict)
-    """What is known of the speeds of each service's targets."""
+    """Estimated speeds of each service's targets."""
 
     runs_by_ref: dict[TaskRef, Run] = field(default_factory=dict)
-    """Every run that is not certainly over, so that no task runs twice at once."""
+    """All runs that have not certainly ended, so that no task runs twice at once."""
 
     unclaimed_ends_by_ref: "OrderedDict[TaskRef, UnclaimedEnd]" = field(
         default_factory=OrderedDict
     )
-    """Tasks that ended done or failed, of jobs unknown here, oldest first."""
+    """Ends of completed and failed tasks of unknown jobs, oldest first."""
 
     expected: ExpectedRuns = field(default_factory=ExpectedRuns)
-    """Run times of the routes."""
+    """Expected run times of each route."""
 
     routing: RoutingTable | None = None
-    """The configuration in force."""
+    """Routing configuration in force; None: not known yet."""
 
     counters: Counters = field(default_factory=Counters)
-    """For the metrics."""
+    """Counters for the metrics."""
 
     def add_job(self, job: Job, now: float) -> None:
-        """Take a job in, and queue it."""
+        """Add a job and queue it.
+
+        :param now: time in seconds.
+        """
         self.jobs_by_id[job.job_id] = job
         queue = self.queue_by_service.setdefault(job.route.service, JobQueue())
         queue.advance(now)
         queue.put(job)
 
     def requeue(self, job: Job) -> None:
-        """Give a job its place again after other tasks of it wait than before."""
+        """Update a job's place in the queue after its waiting tasks changed."""
         if job.job_id in self.jobs_by_id:
             self.queue_by_service[job.route.service].put(job)
 
     def remove_job(self, job: Job) -> None:
-        """Let a job go."""
+        """Remove a job and take it out of the queue."""
         del self.jobs_by_id[job.job_id]
         self.queue_by_service[job.route.service].discard(job)
 
     def add_target(self, target: Target) -> None:
-        """Take a target in."""
+        """Add a target and index it."""
         self.targets_by_id[target.target_id] = target
         book = self.speeds_by_service.setdefault(target.service, SpeedBook())
         target.pace = book.pace_for(target.labels)
         self.index_by_service.setdefault(target.service, TargetIndex()).add(target)
 
     def remove_target(self, target_id: str) -> None:
-        """Let a target go."""
+        """Remove a target."""
         target = self.targets_by_id.pop(target_id)
         self.index_by_service[target.service].remove(target)
 
     def has_responding_target(self, service: str) -> bool:
-        """Return whether a target of a service answers."""
+        """Return whether any target of a service responds."""
         return any(
             target.service == service and target.has_reported and not target.silent
             for target in self.targets_by_id.values()
@@ -467,10 +473,10 @@
 
     def checks_admission(self, service: str) -> bool:
         """Return whether a service's targets refuse a start that does not fit."""
-        known = self.routing.services_by_name if self.routing is not None else {}
-        return service in known and known[service].admission_check
+        services = self.routing.services_by_name if self.routing is not None else {}
+        return service in services and services[service].admission_check
 
     @property
     def all_targets_reported(self) -> bool:
-        """Whether every target has told this leader what runs there."""
+        """Whether every target has listed its runs to this leader."""
         return all(target.has_reported for target in self.targets_by_id.values())
--- a/src/cassiaturn/workload/_tick.py
+++ b/src/cassiaturn/workload/_tick.py
@@ -1,4 +1,4 @@
-"""What runs over the tables each tick: limits, stalls, stops, old entries."""
+"""Periodic checks: deadlines, stalls, repeated stop orders, expired records."""
 
 from cassiaturn.observability import Event
 from cassiaturn.sharing import Lateness, hand_back_at, latest_start
@@ -17,19 +17,20 @@
 )
 
 SLOWNESS_DECAY_PER_TICK = 0.98
-"""Part of a target's excess slowness that is left after a tick: half of it is gone
-in 1.7 s at 20 ticks a second, so that a recovered target is tried again."""
+"""Part of a target's excess slowness that remains after a tick. Half of it is gone in
+1.7 s at 20 ticks a second, so that a recovered target is tried again."""
 
 MIN_STALL_RATIO = 0.05
-"""Least share of its expected length for which a run shows no progress that counts as
-standing still: progress is told in hundredths, and a slow target takes several times
-as long for each."""
+"""A run counts as stalled after no progress for at least this share of its expected
+length: progress is reported in steps of 1%, and a slow target takes several times as
+long for each."""
 
 
 def tick(tables: Tables, ports: Ports, now: float) -> Lateness | None:
-    """Run every system once.
+    """Run all periodic checks once, then start queued tasks.
 
-    :returns: what :func:`dispatch` does.
+    :param now: time in seconds.
+    :returns: the result of :func:`dispatch`.
     """
     _check_jobs(tables, ports, now)
     _check_runs(tables, ports, now)
@@ -48,9 +49,9 @@
 
 
 def next_check(tables: Tables, now: float) -> float | None:
-    """Return when the queue has to be looked at again, in seconds.
+    """Return when the next tick is due, in seconds.
 
-    None: nothing is queued or runs, so that a tick would change nothing.
+    :returns: None if nothing is queued or running, so that a tick changes nothing.
     """
     if tables.jobs_by_id or tables.runs_by_ref:
         return now
@@ -58,7 +59,7 @@
 
 
 def has_tight_runs(tables: Tables, target: Target) -> bool:
-    """Return whether a run there may turn out to end too late for its caller."""
+    """Return whether a run on a target may still turn out too slow for its caller."""
     return any(
         job.is_tight
         for ref in target.runs_by_ref
@@ -84,7 +85,7 @@
 
 
 def _refuse_overdue(tables: Tables, ports: Ports, now: float) -> None:
-    """Refuse jobs that never began and can hardly be answered any more."""
+    """Refuse jobs that never began and can hardly be answered in time."""
     settings = tables.settings
     for queue in tables.queue_by_service.values():
         for job in queue.take_overdue(now + settings.refusal_margin_s):
@@ -96,9 +97,9 @@
 
 
 def _end_unreachable_jobs(tables: Tables, ports: Ports, now: float) -> None:
-    """End jobs of a service none of whose targets can be reached for long.
+    """End jobs of services whose targets have been unreachable for too long.
 
-    This leader may be cut off; another member may serve their callers.
+    This leader may be partitioned; another member may serve their callers.
     """
     for service, queue in tables.queue_by_service.items():
         unreached = tables.unreached_since_by_service
@@ -131,7 +132,7 @@
 
 
 def _waits_too_long(tables: Tables, job: Job, now: float) -> bool:
-    """Return whether an inherited job can start only when it is too late."""
+    """Return whether an inherited job can only start too late."""
     if not job.waiting or now < tables.began_at + tables.settings.first_list_timeout_s:
         return False
     start_by = latest_start(
@@ -143,7 +144,7 @@
 
 
 def _cannot_finish(job: Job) -> bool:
-    """Return whether a task that runs will certainly end too late."""
+    """Return whether a running task will certainly end after the limit."""
     return any(
         task.run is not None
         and task.run.started_at + task.run.least_run_s > job.deadlines.limit_at
@@ -156,7 +157,7 @@
     for run in list(tables.runs_by_ref.values()):
         target = tables.targets_by_id[run.target_id]
         if target.silent:
-            # Its lease ends what runs there; orders would only pile up.
+            # Its lease ends its runs; orders to stop would only accumulate.
             continue
         if run.state in (RunState.STOPPING, RunState.UNCERTAIN):
             if now - run.order_sent_at >= settings.stop_resend_interval_s:
@@ -173,7 +174,10 @@
 
 
 def _is_stalled(tables: Tables, run: Run) -> bool:
-    """Return whether a list that is newer by the stall time shows no progress."""
+    """Return whether a run has shown no progress for the stall timeout.
+
+    Only the time up to the last list that includes it counts.
+    """
     job = tables.jobs_by_id.get(run.ref.job_id)
     expected_run_s = job.expected_run_s if job is not None else 0.0
     stall_timeout_s = max(
@@ -183,7 +187,7 @@
 
 
 def _replace_stalled_run(tables: Tables, ports: Ports, run: Run, now: float) -> None:
-    """Stop a run that stands still; its task goes to another target after it."""
+    """Stop a stalled run; its task then starts on another target."""
     target = tables.targets_by_id[run.target_id]
     target.paused_until = max(target.paused_until, now + tables.settings.stall_pause_s)
     ports.record(
@@ -203,18 +207,18 @@
 
 def _expire_records(tables: Tables, now: float) -> None:
     _expire_unclaimed_ends(tables, now)
-    retired = tables.ended_jobs_by_id
-    while retired:
-        job_id, oldest = next(iter(retired.items()))
+    ended_jobs = tables.ended_jobs_by_id
+    while ended_jobs:
+        job_id, oldest = next(iter(ended_jobs.items()))
         if now - oldest.at < tables.settings.ended_job_retention_s:
             return
-        del retired[job_id]
+        del ended_jobs[job_id]
 
 
 def _expire_unclaimed_ends(tables: Tables, now: float) -> None:
-    unclaimed = tables.unclaimed_ends_by_ref
-    while unclaimed:
-        ref, oldest = next(iter(unclaimed.items()))
+    unclaimed_ends = tables.unclaimed_ends_by_ref
+    while unclaimed_ends:
+        ref, oldest = next(iter(unclaimed_ends.items()))
         if now - oldest.at < tables.settings.unclaimed_end_retention_s:
             return
-        del unclaimed[ref]
+        del unclaimed_ends[ref]
--- a/src/cassiaturn/workload/_unsupported_features.py
+++ b/src/cassiaturn/workload/_unsupported_features.py
@@ -1,19 +1,20 @@
-"""What a leader cannot do yet, so that it is refused before anything runs.
+"""Detects jobs that a leader cannot serve, to refuse them before they start.
 
-Failure that it answers: a job that is taken in and carried out in part. Tasks of a gang
-started one by one wait for each other until they are given up, a scheduled job runs at
-once, a job to be kept is gone with its leader: its caller was told that it is accepted.
+Failure that it prevents: a job that is accepted and only partly carried out. Tasks of a
+gang that start one by one wait for each other until they are given up, a scheduled job
+runs at once, and a job that is to be stored is lost with its leader, although its
+caller was told that it was accepted.
 """
 
 from cassiaturn.entities import JobRequest, Route
 
 
 def unsupported_feature(request: JobRequest, route: Route) -> str | None:
-    """Return what a job asks for that is not served, as it stands in the log.
+    """Return the first feature that a job asks for and that is not supported.
 
     :param request: the job.
-    :param route: the queue that it came by.
-    :returns: the name of the feature; None: the job can be served.
+    :param route: the route by which it came.
+    :returns: the reason to log; None: the job can be served.
     """
     if request.must_be_stored:
         return "stored_jobs_not_served"
