--- a/src/cassiaturn/workload/tests/test_capacity.py
+++ b/src/cassiaturn/workload/tests/test_capacity.py
@@ -36,7 +36,7 @@
 
 
 def _resize(play: Play, name: str, capacity: Resources) -> None:
-    """Let a worker have another capacity, when no order of before is on its way."""
+    """Change a worker's capacity; a decrease waits for orders in transit."""
     target = play.targets[name]
     grows = capacity.cpu_millis > target.capacity.cpu_millis
     if grows:
@@ -54,10 +54,10 @@
 
 
 @pytest.mark.parametrize("guards", [False, True])
-def test_workers_that_shrink_and_grow_are_never_brought_over_their_capacity(
+def test_resized_workers_are_never_overcommitted(
     guards: bool,
 ) -> None:
-    """Starts went on to a worker that had shrunk below what ran there."""
+    """Starts continued on a worker whose capacity had shrunk below its usage."""
     play = _play(guards=guards)
     for step in range(40):
         name = f"t{step % 3}"
@@ -70,7 +70,7 @@
     assert play.tables.counters.refused_starts == 0
 
 
-def test_nothing_is_stopped_on_a_worker_that_shrinks() -> None:
+def test_shrinking_a_worker_stops_no_run() -> None:
     play = _play(guards=False, targets=1)
     play.submit("a", count=2, run_s=0.5)
     play.run(0.1)
@@ -80,7 +80,7 @@
     assert play.tables.counters.stops == 0
 
 
-def test_what_a_worker_grows_by_is_used_at_once() -> None:
+def test_added_capacity_is_used_at_once() -> None:
     play = _play(guards=False, targets=1)
     _resize(play, "t0", SHRUNK)
     play.run(0.1)
@@ -92,7 +92,7 @@
     assert play.running("a") == 2
 
 
-def test_another_capacity_is_told_with_the_one_before() -> None:
+def test_resize_log_has_old_and_new_capacity() -> None:
     play = _play(guards=False, targets=1)
     _resize(play, "t0", SHRUNK)
     _resize(play, "t0", replace(SHRUNK))
--- a/src/cassiaturn/workload/tests/test_job_timing.py
+++ b/src/cassiaturn/workload/tests/test_job_timing.py
@@ -1,4 +1,4 @@
-"""Where the time of a job went, as its leader's log tells it."""
+"""The breakdown of a job's time that its leader logs."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def _timing(play: Play, job_id: str) -> dict[str, object]:
-    """Return what was recorded of a job's time."""
+    """Return the logged timing of a job."""
     (fields,) = (
         fields
         for event, fields in play.records
@@ -27,7 +27,7 @@
     return play
 
 
-def test_a_job_that_is_served_tells_its_longest_task(play: Play) -> None:
+def test_timing_of_a_served_job_shows_its_longest_task(play: Play) -> None:
     play.submit("a", count=2, run_s=0.9, lengths=[0.8, 1.2])
     play.run(1.5)
     timing = _timing(play, "a")
@@ -39,7 +39,7 @@
     assert timing["work_cpu_s"] == pytest.approx(6.8 * 2.0, abs=0.3)
 
 
-def test_a_job_whose_task_is_too_long_for_any_target_says_so(play: Play) -> None:
+def test_timing_shows_a_task_too_long_for_any_target(play: Play) -> None:
     play.submit("a", count=2, run_s=0.9, lengths=[0.8, 2.0])
     play.run(2.0)
     timing = _timing(play, "a")
@@ -48,8 +48,8 @@
     assert int(str(timing["fastest_ms"])) > LIMIT_MS
 
 
-def test_time_on_a_lost_run_is_told_apart_from_the_task_itself(play: Play) -> None:
-    """The log of a job whose target fell silent blamed the length of its task."""
+def test_timing_separates_lost_runs_from_task_length(play: Play) -> None:
+    """A job whose target stopped responding was logged as too long."""
     play.submit("a", count=1, run_s=0.9, lengths=[0.9])
     play.run(0.4)
     (run,) = play.tables.runs_by_ref.values()
@@ -62,8 +62,8 @@
     assert int(str(timing["fastest_ms"])) <= LIMIT_MS
 
 
-def test_a_slow_target_is_told_apart_from_the_task_itself(play: Play) -> None:
-    """The log of a job on a slow target blamed the length of its task."""
+def test_timing_separates_slow_targets_from_task_length(play: Play) -> None:
+    """A job that ran on a slow target was logged as too long."""
     for name in play.targets:
         play.tables.targets_by_id[name].paused_until = float("inf")
     play.add_target("slow", speed=0.5)
@@ -78,8 +78,8 @@
     assert int(str(timing["fastest_ms"])) <= LIMIT_MS
 
 
-def test_a_job_that_is_given_up_early_is_not_taken_for_a_small_one(play: Play) -> None:
-    """The largest jobs were counted among the small ones, and seemed to be served."""
+def test_timing_of_an_abandoned_job_shows_its_full_work(play: Play) -> None:
+    """The largest jobs were counted among the small ones and appeared served."""
     play.submit("a", count=2, run_s=0.9, lengths=[2.0, 3.6])
     play.run(0.5)
     timing = _timing(play, "a")
--- a/src/cassiaturn/workload/tests/test_jobs.py
+++ b/src/cassiaturn/workload/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""What callers get from a leader whose targets are sound."""
+"""Outcomes of jobs while all targets work normally."""
 
 from dataclasses import replace
 
@@ -18,14 +18,14 @@
     return play
 
 
-def test_a_wide_job_runs_in_waves_and_is_complete(play: Play) -> None:
+def test_job_with_more_tasks_than_room_completes(play: Play) -> None:
     play.submit("a", count=12)
     play.run(1.0)
     assert play.verdict("a") is Verdict.COMPLETED
     assert not play.overlaps
 
 
-def test_groups_wait_for_the_groups_before_them(play: Play) -> None:
+def test_groups_wait_for_their_dependencies(play: Play) -> None:
     play.submit("a", count=2, run_s=0.1)
     job = play.tables.jobs_by_id["a"]
     first = job.request.groups[0]
@@ -36,11 +36,11 @@
     assert job.is_open(1)
 
 
-def test_a_resubmission_joins_the_job_that_it_repeats(play: Play) -> None:
-    """The caller loses its connection and comes back by another member.
+def test_resubmission_joins_the_running_job(play: Play) -> None:
+    """The caller loses its connection and comes back through another member.
 
-    Its first member still has the job; a second one would run every task twice at
-    once. Both members must get the one answer.
+    Its first member still has the job. A second job would run every task twice at the
+    same time; both members must get the same answer.
     """
     play.submit("a", count=2, run_s=0.3, origin="m1")
     play.run(0.1)
@@ -53,7 +53,7 @@
     assert not play.overlaps
 
 
-def test_a_late_resubmission_gets_the_answer_again(play: Play) -> None:
+def test_late_resubmission_gets_the_same_answer(play: Play) -> None:
     play.submit("a")
     play.run(0.3)
     play.outcomes.clear()
@@ -63,7 +63,7 @@
     assert play.tables.counters.starts == starts
 
 
-def test_a_caller_that_left_has_its_runs_stopped(play: Play) -> None:
+def test_cancelling_a_job_stops_its_runs(play: Play) -> None:
     play.submit("a", count=3, run_s=0.8)
     play.run(0.1)
     workload.cancel(play.tables, play, "a", "m1", play.now)
@@ -71,13 +71,14 @@
     assert play.running("a") == 0
 
 
-def test_a_job_of_a_caller_that_left_runs_again_above_its_old_numbers(
+def test_resubmitted_job_uses_higher_run_numbers(
     play: Play,
 ) -> None:
-    """The caller breaks off and submits the same id again a second later.
+    """The caller cancels and submits the same id again a second later.
 
-    Targets refuse a run that is not above one that was stopped there. With numbers
-    from the start again the job would be refused everywhere until its limit.
+    A target refuses a run whose number is not above that of a run that was stopped
+    there. If the numbers started again, every target would refuse the job until its
+    limit.
     """
     play.submit("a", count=3, run_s=0.8)
     play.run(0.1)
@@ -90,13 +91,13 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.02, 0.06])
-def test_a_list_that_is_read_late_does_not_end_a_job_that_is_in_time(
+def test_list_read_late_does_not_abandon_a_job_in_time(
     play: Play, late_s: float
 ) -> None:
-    """A busy leader reads a list long after it was made, and its caller gets a 504.
+    """A busy leader reads a list long after it was made; the caller gets a 504.
 
-    The progress in it was set against the time of reading, so that a task of 1.45 s
-    seemed to need 1.8, and its job was given up with 1.5 s to spend.
+    Progress was compared with the time at which the list was read: a task of 1.45 s
+    seemed to need 1.8 s, and its job was abandoned although its limit is 1.5 s.
     """
     play.submit("a", run_s=0.9, lengths=[1.45])
     play.run(0.2)
@@ -111,11 +112,11 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_members_that_are_gone_leave_nothing_running(play: Play) -> None:
-    """A member's process is killed with jobs of its callers under way.
+def test_jobs_of_a_lost_member_are_stopped(play: Play) -> None:
+    """A member's process is killed while jobs of its callers run.
 
-    Its callers come back after 1.3 s by another member. What still ran then would
-    run twice at once.
+    Its callers come back through another member after 1.3 s. Tasks that still ran then
+    would run twice at the same time.
     """
     for index in range(3):
         play.submit(f"a{index}", run_s=1.0, origin="m1")
@@ -140,11 +141,11 @@
     assert play.running("a") == 0
 
 
-def test_a_job_that_cannot_be_in_time_is_given_up_early(play: Play) -> None:
-    """One of four tasks needs 2 s, its caller waits 1.5 s.
+def test_job_that_cannot_finish_in_time_is_abandoned_early(play: Play) -> None:
+    """One of four tasks needs 2 s, but its caller waits only 1.5 s.
 
-    Run to the limit it holds four places for nothing and tells its caller at the
-    end what its progress told after a tenth of the time.
+    If the job ran to its limit, it would occupy four places for nothing, and its caller
+    would learn at the end what the progress shows after a tenth of the time.
     """
     play.submit("a", count=4, run_s=0.9, lengths=[0.8, 0.9, 2.0, 0.9])
     began_at = play.now
@@ -154,13 +155,13 @@
     assert play.running("a") == 0
 
 
-def test_a_job_that_just_fits_is_not_given_up(play: Play) -> None:
+def test_job_that_just_fits_its_limit_is_not_abandoned(play: Play) -> None:
     play.submit("a", count=4, run_s=0.9, lengths=[0.8, 0.9, 1.45, 0.9])
     play.run(1.6)
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_a_refused_job_never_started_and_may_come_back(play: Play) -> None:
+def test_refused_job_never_started_and_may_be_resubmitted(play: Play) -> None:
     for index in range(30):
         play.submit(f"a{index}", count=4, run_s=0.9)
     refused = [key for key, row in play.outcomes.items()]
@@ -175,11 +176,11 @@
     assert play.verdict(refused[0]) is Verdict.COMPLETED
 
 
-def test_jobs_that_come_before_the_directory_are_served() -> None:
-    """All hosts lost power, and callers connect before the leader knows a target.
+def test_jobs_submitted_before_the_directory_arrives_are_served() -> None:
+    """After a power loss callers connect before the leader knows any target.
 
-    The directory comes 20 ms later. Refused, they would come back after most of
-    their time.
+    The directory arrives 20 ms later. Refused callers would come back only after most
+    of their time.
     """
     play = Play()
     play.submit("a")
@@ -190,7 +191,7 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_jobs_that_wait_for_a_directory_that_does_not_come_are_refused() -> None:
+def test_jobs_are_refused_if_the_directory_does_not_arrive() -> None:
     play = Play()
     play.submit("a")
     play.run(0.5)
@@ -218,13 +219,13 @@
     assert play.answered_at["urgent"] < play.answered_at["relaxed"]
 
 
-def test_an_urgent_job_that_is_late_anyway_gives_way_and_is_still_served(
+def test_late_urgent_job_yields_and_is_still_served(
     play: Play,
 ) -> None:
-    """Every place is taken until the urgent job's answer is late whatever is done.
+    """No place is free until the urgent job's answer is late in any case.
 
-    Started first it would make the less urgent one late as well, so that no caller
-    is served in time; behind it, one is.
+    If it started first, it would also make the less urgent job late, so that no caller
+    is served in time; if it starts second, one caller is.
     """
     relaxed = replace(ROUTE, name="relaxed", priority=2)
     play.submit("full", count=8, run_s=0.25)
--- a/src/cassiaturn/workload/tests/test_successors.py
+++ b/src/cassiaturn/workload/tests/test_leader_change.py
@@ -1,4 +1,4 @@
-"""A leader that follows another one: what ran, and what may run again."""
+"""What a new leader does with the runs and jobs of the leader before it."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 GROUP = TaskGroup(count=1, resources=Resources(cpu_millis=6_800))
 
 
-def _successor(*, knows_targets: bool = True, hears: bool = True) -> Play:
+def _new_leader(*, knows_targets: bool = True, is_reachable: bool = True) -> Play:
     """Return a play in which t0 runs a task of an earlier leader."""
     play = Play(term=1)
     play.tables.knows_targets = knows_targets
@@ -19,17 +19,18 @@
     target = play.targets["t0"]
     answer = target.start(TaskRef("a", 0, 0, 0), 1, GROUP, 0.3, play.now)
     assert answer is StartAnswer.STARTED
-    target.cut = not hears
+    target.cut = not is_reachable
     return play
 
 
-def test_a_successor_adopts_what_targets_list() -> None:
-    """The leader is killed while a task runs; its lease holds for a second.
+def test_new_leader_adopts_listed_runs() -> None:
+    """The leader is killed while a task runs under a lease of one second.
 
-    The member whose caller waits submits the job again to the successor. Started
-    afresh, the task would run twice at once, and its caller wait twice as long.
+    The member whose caller waits submits the job again to the new leader. If the task
+    started anew, it would run twice at the same time and its caller would wait twice as
+    long.
     """
-    play = _successor()
+    play = _new_leader()
     play.run(0.02)
     play.submit("a", run_s=0.3, begun_earlier=True)
     play.run(0.5)
@@ -38,16 +39,16 @@
     assert not play.overlaps
 
 
-def test_a_successor_adopts_also_if_the_list_comes_after_the_job() -> None:
-    play = _successor()
+def test_new_leader_adopts_runs_listed_after_the_job() -> None:
+    play = _new_leader()
     play.submit("a", run_s=0.3, begun_earlier=True)
     play.run(0.5)
     assert play.verdict("a") is Verdict.COMPLETED
     assert play.tables.counters.starts == 0
 
 
-def test_a_successor_waits_for_the_lease_of_a_target_that_it_cannot_hear() -> None:
-    play = _successor(hears=False)
+def test_new_leader_waits_for_the_lease_of_an_unreachable_target() -> None:
+    play = _new_leader(is_reachable=False)
     play.submit("a", run_s=0.3, begun_earlier=True, limit_s=4.0)
     play.run(1.8)
     assert play.tables.counters.starts == 0
@@ -56,14 +57,14 @@
     assert not play.overlaps
 
 
-def test_a_job_is_given_up_at_once_if_its_wait_outlasts_its_caller() -> None:
-    """The leader is cut off with a target that ran a task for this side's caller.
+def test_job_is_abandoned_at_once_if_leases_outlast_its_limit() -> None:
+    """The leader is partitioned together with a target that runs a caller's task.
 
-    Nobody here can tell when that run is over before its lease is, and the caller
-    does not wait that long. Kept until its limit, the job would hold its caller and
-    its other tasks' places for nothing.
+    Nobody on this side can tell that the run has ended before its lease expires, and
+    the caller does not wait that long. If kept until its limit, the job would hold its
+    caller and the places of its other tasks for nothing.
     """
-    play = _successor(hears=False)
+    play = _new_leader(is_reachable=False)
     play.submit("a", run_s=0.3, begun_earlier=True, limit_s=0.9)
     play.run(0.4)
     assert play.verdict("a") is Verdict.ABANDONED
@@ -71,12 +72,12 @@
     assert play.tables.counters.starts == 0
 
 
-def test_a_new_leader_first_hears_every_target_that_answers() -> None:
-    """A caller lost its connection, and the leader its process, in one second.
+def test_new_leader_waits_for_the_lists_of_all_responding_targets() -> None:
+    """A caller loses its connection, and the leader is killed in the same second.
 
-    The caller submits again while a run of its task still has its lease. The first
-    list that arrives is of another target; a start made on its word alone would run
-    the task twice at once.
+    The caller submits again while a run of its task still has a lease. The first list
+    that arrives is from another target; a start based on it alone would run the task
+    twice at the same time.
     """
     play = Play(term=1)
     play.tables.knows_targets = True
@@ -92,21 +93,22 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_a_target_that_never_answers_holds_a_new_leader_for_a_moment_only() -> None:
-    play = _successor(hears=False)
+def test_unresponsive_target_delays_a_new_leader_only_briefly() -> None:
+    play = _new_leader(is_reachable=False)
     play.submit("b", run_s=0.06)
     play.run(0.2)
     assert play.verdict("b") is Verdict.COMPLETED
 
 
 @pytest.mark.parametrize(("knows_targets", "wait_s"), [(False, 0.0), (True, 3.0)])
-def test_a_job_from_the_far_side_of_a_cut_waits_for_the_leases(
+def test_job_from_other_side_of_a_partition_waits_for_leases(
     knows_targets: bool, wait_s: float
 ) -> None:
-    """Two sides of a cut had a leader each; the cut heals, and one steps down.
+    """Each side of a partition had a leader; it heals, and one leader steps down.
 
-    Its targets may have left the directory here while it used them, so that no list
-    tells of the run there. Started at once, the task would run twice at once.
+    The targets that the other side used may have left this side's directory, so that no
+    list shows the run there. If the job started at once, its task would run twice at
+    the same time.
     """
     play = Play(term=1)
     play.tables.knows_targets = knows_targets
@@ -120,16 +122,16 @@
 
 
 @pytest.mark.parametrize("reason", ["left_directory", "lease_over"])
-def test_a_job_from_the_far_side_waits_also_after_a_young_leader_let_targets_go(
+def test_job_from_other_side_waits_if_a_new_leader_removed_targets(
     reason: str,
 ) -> None:
-    """A cut that heals 2.2 s after the leader of one side began.
+    """A partition heals 2.2 s after the leader of one side began its term.
 
-    It had been told of all targets and had let those go that it could not reach, so
-    that it heard all that it still knew. At the heal the other side's leader stepped
-    down, and a task that it had started 58 ms before on such a target ran twice at
-    once. Shown by the log: target_removed on the young leader 0.6 s and 1.1 s after its
-    begin, and the inherited job started in the millisecond in which it came.
+    That leader had known all targets and removed those that it could not reach
+    (target_removed in its log 0.6 s and 1.1 s after its start), so all its remaining
+    targets had reported. When the partition healed and the other side's leader stepped
+    down, the inherited job started in the millisecond in which it arrived, although its
+    task had been started on a removed target 58 ms before: two concurrent runs.
     """
     play = Play(term=1)
     play.tables.knows_targets = True
@@ -146,8 +148,11 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_a_run_that_is_adopted_near_its_end_tells_nothing_of_its_length() -> None:
-    """After a change of leader jobs were expected to take a fifth of their time."""
+def test_adopted_run_does_not_affect_expected_run_times() -> None:
+    """After a change of leader jobs were expected to take a fifth of their time.
+
+    The time from a run's adoption to its end had counted as its whole length.
+    """
     play = Play(term=1)
     play.add_target("t0")
     play.targets["t0"].cut = True
@@ -162,8 +167,8 @@
     assert play.tables.targets_by_id["t0"].slowness == 1.0
 
 
-def test_a_job_does_not_wait_for_what_surely_ended() -> None:
-    """A target is there again in another life: nothing of the one before runs on."""
+def test_job_does_not_wait_for_runs_of_a_restarted_target() -> None:
+    """A target restarts as another process, so none of its earlier runs continues."""
     play = Play(term=1)
     play.tables.knows_targets = True
     play.add_target("t1")
@@ -175,20 +180,20 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_a_run_whose_job_never_comes_is_stopped() -> None:
-    """The leader and the caller's member are killed in one moment.
+def test_run_whose_job_is_never_submitted_is_stopped() -> None:
+    """The leader and the caller's member are killed at the same moment.
 
-    Nobody submits the job again for 1.3 s; what runs must be over by then.
+    Nobody submits the job again for 1.3 s; its runs must have ended by then.
     """
-    play = _successor()
+    play = _new_leader()
     play.run(0.2)
     assert play.running("a") == 1
     play.run(0.4)
     assert play.running("a") == 0
 
 
-def test_a_job_of_a_successor_numbers_its_runs_above_the_earlier_leaders() -> None:
-    play = _successor()
+def test_new_leader_uses_higher_run_numbers() -> None:
+    play = _new_leader()
     play.run(0.6)
     play.submit("a", run_s=0.1)
     play.run(0.4)
@@ -196,8 +201,8 @@
     assert play.tables.counters.refused_starts == 0
 
 
-def test_nothing_of_another_member_is_cancelled_by_a_stranger() -> None:
-    play = _successor()
+def test_cancel_by_another_member_keeps_the_job() -> None:
+    play = _new_leader()
     play.submit("b", run_s=0.4, origin="m1")
     assert workload.cancel(play.tables, play, "b", "m9", play.now)
     assert "b" in play.tables.jobs_by_id
@@ -214,7 +219,7 @@
     assert settings.lease_over_s == pytest.approx(over_s)
 
 
-def _ended(*ends: RunEnd) -> Play:
+def _leader_with_ended_tasks(*ends: RunEnd) -> Play:
     """Return a play in which tasks of "a" ended before this leader's first list."""
     play = Play(term=1)
     play.tables.knows_targets = True
@@ -229,21 +234,22 @@
     return play
 
 
-def test_what_ended_before_a_successor_began_is_not_run_again() -> None:
-    """The leader falls silent for half a second, while tasks run and end.
+def test_tasks_that_ended_before_a_leader_change_are_not_rerun() -> None:
+    """The leader stops responding for half a second while tasks run and end.
 
-    The first lists of its successor tell of their ends, and targets forget what was
-    acknowledged. The member passes the job on a moment later. Run anew, its caller
-    gets a late answer though all the work was done in time.
+    The first lists that the new leader receives contain their ends, and targets forget
+    an end that was acknowledged. The member passes the job on a moment later. If its
+    tasks ran again, the caller would get a late answer although all work was done in
+    time.
     """
-    play = _ended(RunEnd.DONE, RunEnd.DONE)
+    play = _leader_with_ended_tasks(RunEnd.DONE, RunEnd.DONE)
     play.submit("a", count=2, run_s=0.3, begun_earlier=True)
     assert play.verdict("a") is Verdict.COMPLETED
     assert play.tables.counters.starts == 0
 
 
-def test_a_task_that_is_left_over_is_run() -> None:
-    play = _ended(RunEnd.DONE, RunEnd.FAILED)
+def test_failed_and_missing_tasks_run_after_a_leader_change() -> None:
+    play = _leader_with_ended_tasks(RunEnd.DONE, RunEnd.FAILED)
     play.submit("a", count=3, run_s=0.1, begun_earlier=True)
     play.run(0.3)
     assert play.verdict("a") is Verdict.COMPLETED
@@ -251,25 +257,26 @@
     assert not play.targets["t0"].works
 
 
-def test_ends_that_say_nothing_of_the_task_are_not_kept() -> None:
-    play = _ended(RunEnd.STOPPED, RunEnd.LEASE_EXPIRED)
+def test_stopped_and_expired_runs_of_unknown_jobs_are_not_kept() -> None:
+    play = _leader_with_ended_tasks(RunEnd.STOPPED, RunEnd.LEASE_EXPIRED)
     assert not play.tables.unclaimed_ends_by_ref
 
 
-def test_a_job_whose_task_has_ended_is_not_said_not_to_have_run() -> None:
-    """A caller whose member was killed submits again, while the service is full.
+def test_job_with_an_ended_task_is_not_refused() -> None:
+    """A caller whose member was killed resubmits while the service is full.
 
-    One of its tasks is done. "Not run" would be untrue; the rest is run.
+    One task of the job is done, so the answer that it did not run would be wrong; its
+    other tasks are run.
     """
-    play = _ended(RunEnd.DONE)
+    play = _leader_with_ended_tasks(RunEnd.DONE)
     play.submit("a", count=2, run_s=1.4, limit_s=0.3)
     assert play.verdict("a") is not Verdict.REFUSED
     play.run(0.5)
     assert play.verdict("a") is Verdict.ABANDONED
 
 
-def test_the_end_of_a_job_that_never_comes_is_forgotten() -> None:
-    play = _ended(RunEnd.DONE)
+def test_unclaimed_ends_expire() -> None:
+    play = _leader_with_ended_tasks(RunEnd.DONE)
     assert play.tables.unclaimed_ends_by_ref
     play.run(3.2)
     assert not play.tables.unclaimed_ends_by_ref
--- a/src/cassiaturn/workload/tests/test_long_queue.py
+++ b/src/cassiaturn/workload/tests/test_long_queue.py
@@ -1,4 +1,4 @@
-"""What a leader does for each event beside a long queue."""
+"""Cost and outcome of a leader's decisions while many jobs are queued."""
 
 from dataclasses import replace
 from typing import Any
@@ -13,13 +13,13 @@
 
 
 class _CountingRoute(Route):
-    """Counts the looks at jobs' places in the queue, which begin with the priority."""
+    """Counts reads of the priority, the first part of a job's queue key."""
 
-    looks = 0
+    priority_reads = 0
 
     def __getattribute__(self, name: str) -> Any:
         if name == "priority":
-            _CountingRoute.looks += 1
+            _CountingRoute.priority_reads += 1
         return super().__getattribute__(name)
 
 
@@ -39,28 +39,29 @@
 
 
 @pytest.mark.parametrize("queued", [100, 1_000])
-def test_a_submission_costs_the_same_beside_any_queue(queued: int) -> None:
-    """A leader spent its time on its queue, started less, and the queue grew."""
+def test_submission_cost_does_not_grow_with_the_queue(queued: int) -> None:
+    """Each submission scanned the queue, so the leader started less and it grew."""
     play = _play(queued)
-    _CountingRoute.looks = 0
+    _CountingRoute.priority_reads = 0
     play.submit("b", count=2, run_s=2.0, route=PATIENT, limit_s=1_000.0)
-    assert _CountingRoute.looks <= 20
+    assert _CountingRoute.priority_reads <= 20
 
 
 @pytest.mark.parametrize("queued", [100, 1_000])
-def test_a_dispatch_costs_the_same_beside_any_queue(queued: int) -> None:
-    """Room for one small job had every event sort the queue."""
+def test_dispatch_cost_does_not_grow_with_the_queue(queued: int) -> None:
+    """Free room for only one small job made every event sort the queue."""
     play = _play(queued)
     slow = replace(ROUTE, priority=9, stretch=100.0)
-    # Held for a run of an earlier leader, it leaves room that no other job fits.
+    # This job waits for a run of an earlier leader, and no other job fits the free
+    # room.
     play.submit("small", cpu=2_300, route=slow, limit_s=1_000.0, begun_earlier=True)
-    _CountingRoute.looks = 0
+    _CountingRoute.priority_reads = 0
     workload.dispatch(play.tables, play, play.now)
-    assert _CountingRoute.looks <= 20
+    assert _CountingRoute.priority_reads <= 20
 
 
-def test_jobs_that_become_urgent_meanwhile_start_before_the_rest_of_a_burst() -> None:
-    """A burst was started in one go, and an urgent job waited until all was sent."""
+def test_urgent_job_starts_before_the_rest_of_a_burst() -> None:
+    """A burst was started as a whole; an urgent job waited until all was sent."""
     play = Play()
     for index in range(100):
         play.add_target(f"t{index}")
@@ -84,10 +85,10 @@
     ("limit_s", "waited_s"),
     [(6.0, 1.0), (1.8, 1.75)],
 )
-def test_a_leader_that_reaches_no_target_hands_jobs_back(
+def test_leader_that_reaches_no_target_ends_its_jobs(
     limit_s: float, waited_s: float
 ) -> None:
-    """A member that was cut off alone kept jobs that others could have served."""
+    """A partitioned member kept jobs that other members could have served."""
     play = Play()
     for index in range(4):
         play.add_target(f"t{index}")
@@ -102,16 +103,16 @@
     assert took_s == pytest.approx(waited_s, abs=0.1)
 
 
-def test_a_job_whose_tasks_ask_for_no_processor_is_served() -> None:
-    """Such a job was never queued, and never answered."""
+def test_job_without_cpu_demand_is_served() -> None:
+    """A job with a CPU demand of 0 was never queued and never answered."""
     play = _play(0)
     play.submit("a", cpu=0)
     play.run(0.5)
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_jobs_that_fit_nowhere_hold_up_nobody() -> None:
-    """Jobs wider than any target at the head of the queue kept all others waiting."""
+def test_jobs_too_large_for_any_target_do_not_block_others() -> None:
+    """Jobs larger than any target at the head of the queue blocked all others."""
     play = _play(0)
     for index in range(80):
         play.submit(f"a{index}", cpu=20_000, limit_s=30.0)
@@ -120,8 +121,8 @@
     assert play.verdict("b") is Verdict.COMPLETED
 
 
-def test_targets_that_are_paused_are_not_out_of_reach() -> None:
-    """All targets paused for a failing job, and everybody was refused."""
+def test_paused_targets_do_not_count_as_unreachable() -> None:
+    """A failing job paused all targets, and every caller was refused."""
     play = _play(0)
     for row in play.tables.targets_by_id.values():
         row.paused_until = play.now + 1.6
@@ -130,8 +131,8 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_a_long_run_is_not_taken_for_one_that_stands_still() -> None:
-    """Runs of a minute show progress every 0.6 s, and were stopped after 0.35."""
+def test_long_run_does_not_count_as_stalled() -> None:
+    """Runs of 60 s show progress every 0.6 s and were stopped after 0.35 s."""
     play = _play(0)
     play.submit("a", run_s=60.0, limit_s=200.0)
     play.run(70.0)
@@ -139,8 +140,8 @@
     assert play.tables.counters.starts == 1
 
 
-def test_a_request_that_joins_a_job_keeps_it_for_as_long_as_it_waits() -> None:
-    """A caller came again at another member, and got the end of its first request."""
+def test_joining_request_extends_the_limit_of_a_job() -> None:
+    """A caller came back through another member and got the first request's end."""
     play = _play(8)
     play.submit("b", run_s=0.06, limit_s=1.0)
     play.run(0.5)
--- a/src/cassiaturn/workload/tests/test_any_order.py
+++ b/src/cassiaturn/workload/tests/test_random_failures.py
@@ -1,4 +1,4 @@
-"""Any mix of failures: no task runs twice at once, and every caller is answered."""
+"""Random mixes of failures: no concurrent runs of a task, every caller answered."""
 
 import random
 
@@ -14,12 +14,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_any_mix_of_failures(seed: int) -> None:
-    """Targets are cut off and come back, stall, fail, lose orders and do them late.
+def test_random_failures_never_run_a_task_twice_at_once(seed: int) -> None:
+    """Targets are partitioned, stall, fail, and lose or delay orders.
 
-    Callers leave, come back with the same id and by other members. Whatever the
-    order, no task may run twice at once, a refused job may not have run, and every
-    caller that waits has its answer by its limit.
+    Callers cancel, and resubmit the same id. In any order of these events no task may
+    run twice at the same time, a refused job may not have run, and every waiting caller
+    must have its answer by its limit.
     """
     rng = random.Random(seed)
     play = Play()
@@ -29,7 +29,7 @@
     play.run(0.1)
     submitted: dict[str, float] = {}
     for step in range(120):
-        _disturb(play, rng)
+        _inject_failure(play, rng)
         job_id = f"j{step}"
         if submitted and rng.random() < 0.15:
             job_id = rng.choice(list(submitted))
@@ -52,19 +52,19 @@
     assert not started.intersection(refused)
 
 
-def _disturb(play: Play, rng: random.Random) -> None:
+def _inject_failure(play: Play, rng: random.Random) -> None:
     name = rng.choice(list(play.targets))
     target = play.targets[name]
-    what = rng.random()
-    if what < 0.04 and not target.cut:
+    draw = rng.random()
+    if draw < 0.04 and not target.cut:
         target.cut = True
         play.lose(name)
         play.later(rng.uniform(0.2, 3.0), lambda: setattr(target, "cut", False))
-    elif what < 0.07:
+    elif draw < 0.07:
         target.hangs = not target.hangs
-    elif what < 0.10:
+    elif draw < 0.10:
         target.fails = not target.fails
-    elif what < 0.14:
+    elif draw < 0.14:
         target.late_s = rng.choice([0.0, 0.2, 0.6, 2.0])
-    elif what < 0.18:
+    elif draw < 0.18:
         target.speed = rng.choice([0.2, 0.8, 1.0, 1.25])
--- a/src/cassiaturn/workload/tests/test_target_failures.py
+++ b/src/cassiaturn/workload/tests/test_target_failures.py
@@ -1,4 +1,4 @@
-"""Targets that crash, stall, fail or answer late, and what callers get."""
+"""Outcomes of jobs whose targets crash, stall, fail or answer late."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 def _play(count: int = 4, **traits: object) -> Play:
-    """Return a play of some targets; the first has some traits."""
+    """Return a play with several targets; the traits apply to the first."""
     play = Play()
     for index in range(count):
         play.add_target(f"t{index}")
@@ -28,13 +28,13 @@
     return play
 
 
-def test_a_long_queue_costs_no_look_at_silent_targets_with_room(
+def test_free_room_on_silent_targets_is_not_searched(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Targets are cut off in a burst, and the leader stands still for seconds.
+    """Many targets are partitioned at once, and the leader stalls for seconds.
 
-    What is free on silent targets is of no use. Taken for room, each event has every
-    queued job look for a place in vain, and all callers wait for that.
+    Free resources on silent targets cannot be used. If they count as room, every event
+    makes each queued job search for a place in vain, and all callers wait meanwhile.
     """
     play = Play()
     for index in range(6):
@@ -54,11 +54,12 @@
     assert searches == 0
 
 
-def test_a_list_made_before_a_start_arrived_does_not_end_its_run() -> None:
-    """A task is started and at the same moment its target is asked what runs.
+def test_list_that_overtakes_a_start_does_not_end_its_run() -> None:
+    """A task is started while its target is asked for its list.
 
-    The question overtakes the start, so the list leaves the run out. Taken for its
-    end, the task would start elsewhere while the first run works: twice at once.
+    The request overtakes the order to start, so the list leaves the run out. If that
+    counted as the run's end, the task would start elsewhere while its first run works:
+    two concurrent runs.
     """
     play = _play(2)
     play.submit("a", run_s=0.3)
@@ -78,7 +79,7 @@
     assert play.tables.counters.starts == 1
 
 
-def test_a_list_asked_for_after_the_answer_ends_a_run_that_it_leaves_out() -> None:
+def test_list_requested_after_the_answer_ends_a_missing_run() -> None:
     play = _play(2)
     play.submit("a", run_s=0.3)
     play.run(0.01)
@@ -89,10 +90,10 @@
     assert play.tables.counters.starts == 2
 
 
-def test_a_start_without_an_answer_is_stopped_before_it_runs_elsewhere() -> None:
+def test_unanswered_start_is_stopped_before_it_runs_elsewhere() -> None:
     """The answer to a start is lost, and the target carries it out 0.4 s later.
 
-    Started elsewhere at once, the task would run twice at the same time.
+    If the task started elsewhere at once, it would run twice at the same time.
     """
     play = _play(4, late_s=0.4)
     lost: list[TaskRef] = []
@@ -112,11 +113,11 @@
     assert {play.verdict(f"a{index}") for index in range(8)} == {Verdict.COMPLETED}
 
 
-def test_runs_of_a_cut_off_target_start_elsewhere_after_its_lease() -> None:
-    """A target is cut off with a task on it, and works on.
+def test_runs_of_a_partitioned_target_restart_after_its_lease() -> None:
+    """A target is partitioned while it runs a task, and continues to run it.
 
-    Its lease ends it a second later at the latest. Started elsewhere before, the
-    task would run twice at once; the caller waits for 3 s.
+    Its lease ends the run a second later at the latest. If the task started elsewhere
+    before that, it would run twice at the same time; the caller waits for 3 s.
     """
     play = _play(2)
     play.submit("a", run_s=0.6, limit_s=3.0)
@@ -132,7 +133,7 @@
     assert not play.overlaps
 
 
-def test_runs_of_a_crashed_target_start_elsewhere_at_once() -> None:
+def test_runs_of_a_crashed_target_restart_elsewhere_at_once() -> None:
     play = _play(2)
     play.submit("a", run_s=0.3)
     play.run(0.05)
@@ -144,8 +145,8 @@
     assert play.verdict("a") is Verdict.COMPLETED
 
 
-def test_a_task_that_stands_still_is_run_elsewhere() -> None:
-    """One of four targets lets its tasks stand still while it answers.
+def test_stalled_task_is_run_elsewhere() -> None:
+    """One of four targets makes no progress on its tasks while it answers.
 
     Its callers would wait until their limit for tasks that never end.
     """
@@ -157,11 +158,11 @@
     assert Event.RUN_STALLED in [event for event, _ in play.records]
 
 
-def test_a_target_that_fails_everything_does_not_use_up_the_attempts() -> None:
+def test_failing_target_does_not_use_up_all_attempts() -> None:
     """One of four targets fails each task within 20 ms, so it is always free.
 
-    Least loaded, it would get every second start of a job until the two attempts
-    of some task are used up and the caller is told that the job failed.
+    As the least loaded target it would get every second start of a job until a task has
+    used up its two attempts and the caller is told that the job failed.
     """
     play = _play(4, fails=True)
     for index in range(20):
@@ -172,7 +173,7 @@
     assert verdicts == [Verdict.COMPLETED] * 20
 
 
-def test_a_job_whose_task_fails_everywhere_has_failed() -> None:
+def test_job_fails_when_its_task_fails_on_all_targets() -> None:
     play = Play()
     for index in range(4):
         play.add_target(f"t{index}", fails=True)
@@ -195,7 +196,7 @@
         StartAnswer.INVALID,
     ],
 )
-def test_a_refused_start_puts_its_task_back(answer: StartAnswer) -> None:
+def test_refused_start_requeues_its_task(answer: StartAnswer) -> None:
     play = _play(2)
     play.submit("a", run_s=0.1)
     (run,) = play.tables.runs_by_ref.values()
@@ -208,10 +209,10 @@
     assert play.tables.jobs_by_id["a"].waiting[0].next_run > run.number
 
 
-def test_a_run_that_no_job_asked_for_is_stopped(
+def test_duplicate_run_is_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A start that was thought lost is carried out beside the run in its place."""
+    """A start that seemed lost is carried out beside the run that replaced it."""
     play = _play(3)
     play.submit("a", run_s=0.4)
     play.run(0.01)
@@ -232,7 +233,7 @@
     assert play.tables.runs_by_ref[run.ref] is run
 
 
-def test_an_end_that_is_told_twice_counts_once() -> None:
+def test_end_reported_twice_counts_once() -> None:
     play = _play(2)
     play.submit("a", count=2, run_s=0.2)
     play.run(0.01)
@@ -258,10 +259,10 @@
     assert play.verdict("a") is Verdict.REFUSED
 
 
-def test_an_order_to_stop_is_repeated_until_its_run_is_over(
+def test_stop_order_is_repeated_until_its_run_has_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The order to stop is lost: the run would hold its place until its end."""
+    """The order to stop is lost, and the run would keep its place until its end."""
     play = _play(1)
     play.submit("a", run_s=1.4)
     play.run(0.05)
@@ -276,10 +277,11 @@
     assert not play.tables.runs_by_ref
 
 
-def test_a_target_that_left_a_request_unanswered_gets_no_start_for_a_moment() -> None:
-    """A target is cut off, and its second list has not come yet.
+def test_target_with_an_unanswered_request_is_paused() -> None:
+    """A target is partitioned, and its second list has not arrived yet.
 
-    A task started there meanwhile would wait for the lease, most of its caller's time.
+    A task started there in the meantime would wait for the lease to expire, which takes
+    most of its caller's time.
     """
     play = Play()
     play.add_target("t0")
--- a/src/cassiaturn/workload/tests/test_unguarded_targets.py
+++ b/src/cassiaturn/workload/tests/test_targets_without_admission.py
@@ -1,4 +1,4 @@
-"""Targets that start whatever they are told to, also beyond their worker's capacity."""
+"""Targets without admission control must not exceed their worker's capacity."""
 
 import random
 
@@ -31,7 +31,7 @@
 
 
 def _play(*, guards: bool = False, running: int = 2) -> Play:
-    """Return a new leader's play, with runs of an earlier leader on both targets."""
+    """Return a play of a new leader; both targets run tasks of an earlier one."""
     play = Play(term=1)
     play.tables.routing = _routing(admission_check=guards)
     play.tables.knows_targets = True
@@ -44,12 +44,12 @@
     return play
 
 
-def test_a_new_leader_brings_no_worker_over_its_capacity() -> None:
-    """A leader hands over while every worker is full.
+def test_new_leader_does_not_overcommit_workers() -> None:
+    """The leader changes while every worker is full.
 
-    The new one hears all targets in a few milliseconds, before the members have passed
-    their jobs on to it. What runs is listed by name only; its first start would bring
-    a worker over its capacity, and all that runs there would be late for its callers.
+    The new leader has the lists of all targets within a few milliseconds, before the
+    members have passed their jobs on. The lists name the runs but not their resources,
+    so a first start would exceed a worker's capacity and delay all runs there.
     """
     play = _play()
     play.run(0.01)
@@ -61,7 +61,7 @@
     assert not any(target.overfull for target in play.targets.values())
 
 
-def test_room_beside_runs_that_were_passed_on_is_used_at_once() -> None:
+def test_room_beside_known_runs_is_used_at_once() -> None:
     play = _play(running=1)
     play.run(0.01)
     for name in ("t0", "t1"):
@@ -72,7 +72,7 @@
     assert not any(target.overfull for target in play.targets.values())
 
 
-def test_a_target_that_checks_is_tried_beside_unknown_runs() -> None:
+def test_target_with_admission_check_may_start_beside_unknown_runs() -> None:
     play = _play(guards=True, running=1)
     play.run(0.01)
     play.submit("new", run_s=0.06, count=2)
@@ -80,10 +80,10 @@
     assert play.verdict("new") is Verdict.COMPLETED
 
 
-def test_a_second_run_that_is_being_stopped_still_counts() -> None:
-    """An order to start is carried out late, beside the run that took its place.
+def test_duplicate_run_being_stopped_counts_as_used() -> None:
+    """An order to start is carried out late, beside the run that replaced it.
 
-    The target is told to stop it. Until it has, its room is not free.
+    The target is told to stop the late run; until it has, its room is not free.
     """
     play = _play(running=0)
     play.run(0.01)
@@ -102,11 +102,11 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_mix_of_failures_brings_a_worker_over_its_capacity(seed: int) -> None:
-    """Starts are lost or carried out late, targets are cut off, callers leave.
+def test_random_failures_never_overcommit_a_worker(seed: int) -> None:
+    """Starts are lost or delayed, and targets are partitioned, at random.
 
-    The leader counts room from its own orders and the targets' lists. Whichever order
-    they come in, no start may find its worker full.
+    The leader accounts for room by its own orders and the lists of targets. In any
+    order of these events no start may find its worker full.
     """
     rng = random.Random(seed)
     play = Play()
@@ -121,7 +121,7 @@
         if rng.random() < 0.03 and not target.cut:
             target.cut = True
             play.lose(target.target_id)
-            play.later(rng.uniform(0.2, 2.0), lambda row=target: _heal(row))  # type: ignore[misc]
+            play.later(rng.uniform(0.2, 2.0), lambda row=target: _reconnect(row))  # type: ignore[misc]
         count = rng.randint(1, 6)
         lengths = [rng.uniform(0.03, 0.8) for _ in range(count)]
         play.submit(f"j{step}", count=count, run_s=0.3, lengths=lengths)
@@ -130,5 +130,5 @@
     assert not any(row.overfull for row in play.targets.values())
 
 
-def _heal(target: object) -> None:
+def _reconnect(target: object) -> None:
     target.cut = False  # type: ignore[attr-defined]
