--- a/src/cassiaturn/sharing/tests/test_slow_leader.py
+++ b/src/cassiaturn/sharing/tests/test_slow_leader.py
@@ -16,7 +16,7 @@
     job_deadlines,
     queue_key,
 )
-from cassiaturn.workload import MOST_STARTS
+from cassiaturn.workload import MAX_STARTS_PER_TURN
 
 READ_S = 0.0003
 """Processor time for reading a submission, in seconds."""
@@ -100,7 +100,7 @@
     pause_s: float = 0.0
     """How long it is suspended from :data:`PAUSE_AT_S` on, in seconds."""
 
-    max_starts: float = MOST_STARTS // TASKS
+    max_starts: float = MAX_STARTS_PER_TURN // TASKS
     uses_transit_delay: bool = True
 
     now: float = 0.0
--- a/src/cassiaturn/workload/_ends.py
+++ b/src/cassiaturn/workload/_ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs: what they say of the task, its job and its target."""
+"""Applies the ends of runs to their tasks, jobs and targets."""
 
 from cassiaturn.entities import (
     EndedRun,
@@ -6,7 +6,7 @@
 )
 from cassiaturn.observability import Event
 from cassiaturn.sharing import failed_target_pause_s
-from cassiaturn.workload._dispatch import put_back
+from cassiaturn.workload._dispatch import requeue_task
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._settle import settle
 from cassiaturn.workload._tables import (
@@ -21,21 +21,21 @@
 )
 
 SLOWNESS_WEIGHT = 0.3
-"""Weight of one run in a target's slowness: three runs tell a target that takes
+"""Weight of one run in a target's slowness: three runs distinguish a target that takes
 four times as long from one long task."""
 
-SOUND_SLOWNESS = 1.5
-"""Slowness below which a target's runs tell of its kind: a sick one is no measure of
-the others."""
+MAX_HEALTHY_SLOWNESS = 1.5
+"""Slowness below which a target's runs count towards expected run times and speeds: a
+degraded target says nothing about the others."""
 
 
-def take_end(
+def apply_run_end(
     tables: Tables, ports: Ports, target: Target, ended: EndedRun, now: float
 ) -> None:
-    """Take in that a run has ended, and decide on its task."""
+    """Record that a run has ended, and complete, fail or requeue its task."""
     run = target.runs_by_ref.get(ended.ref)
     if run is not None and run.number == ended.run:
-        over(tables, target, run)
+        remove_run(tables, target, run)
     elif run is not None:
         return
     job = tables.jobs_by_id.get(ended.ref.job_id)
@@ -46,7 +46,7 @@
     if task is None or task.done or (task.run is not None and task.run is not run):
         return
     if run is not None:
-        _judge(tables, target, job, run, ended.end, now)
+        _update_target_health(tables, target, job, run, ended.end, now)
         task.length_s = 0.0 if run.is_adopted else now - run.started_at
     if ended.end is RunEnd.DONE:
         _complete(tables, ports, job, task, now)
@@ -60,34 +60,35 @@
             target=target.target_id,
             end=ended.end,
         )
-        put_back(tables, ended.ref)
+        requeue_task(tables, ended.ref)
 
 
-def claim_ends(tables: Tables, ports: Ports, job: Job, now: float) -> None:
-    """Give a job the ends of its tasks that were listed before it was passed on.
+def apply_unclaimed_ends(tables: Tables, ports: Ports, job: Job, now: float) -> None:
+    """Apply the ends of a job's tasks that targets listed before the job.
 
-    Between a leader's last word and its successor's first list most tasks end, and a
-    target forgets an end once it is acknowledged. Started anew, those tasks cost
-    their time twice, and their callers get a late answer or none.
+    Most tasks end between the last message of a leader and the first list that its
+    successor receives, and a target forgets an end once it is acknowledged. If these
+    tasks ran again, they would take their time twice, and their callers would get a
+    late answer or none.
     """
     for task in list(job.tasks_by_ref.values()):
-        unclaimed = tables.unclaimed_ends_by_ref.pop(task.ref, None)
-        if unclaimed is None:
+        unclaimed_end = tables.unclaimed_ends_by_ref.pop(task.ref, None)
+        if unclaimed_end is None:
             continue
         job.begun = True
-        task.next_run = max(task.next_run, unclaimed.ended.run + 1)
+        task.next_run = max(task.next_run, unclaimed_end.ended.run + 1)
         ports.record(
             Event.RUN_ENDED,
             id=job.job_id,
             task=task.ref.task_index,
-            target=unclaimed.target_id,
-            end=unclaimed.ended.end,
-            age_ms=round((now - unclaimed.at) * 1000),
+            target=unclaimed_end.target_id,
+            end=unclaimed_end.ended.end,
+            age_ms=round((now - unclaimed_end.at) * 1000),
         )
-        if unclaimed.ended.end is RunEnd.DONE:
+        if unclaimed_end.ended.end is RunEnd.DONE:
             _complete(tables, ports, job, task, now)
         else:
-            _fail(tables, ports, job, task, unclaimed.target_id, now)
+            _fail(tables, ports, job, task, unclaimed_end.target_id, now)
         if job.job_id not in tables.jobs_by_id:
             return
 
@@ -101,8 +102,8 @@
         )
 
 
-def over(tables: Tables, target: Target, run: Run) -> None:
-    """Count a run as certainly over."""
+def remove_run(tables: Tables, target: Target, run: Run) -> None:
+    """Remove a run that has certainly ended, and free its resources."""
     del target.runs_by_ref[run.ref]
     if tables.runs_by_ref.get(run.ref) is run:
         del tables.runs_by_ref[run.ref]
@@ -110,7 +111,7 @@
         target.release(run.group.resources, run.group_key)
 
 
-def _judge(
+def _update_target_health(
     tables: Tables, target: Target, job: Job, run: Run, end: RunEnd, now: float
 ) -> None:
     if end is RunEnd.DONE:
@@ -118,9 +119,9 @@
         if run.is_adopted:
             return
         run_s = now - run.started_at
-        learn_speed(target, job, run_s)
+        update_slowness(target, job, run_s)
         target.note_change()
-        if target.slowness < SOUND_SLOWNESS:
+        if target.slowness < MAX_HEALTHY_SLOWNESS:
             tables.expected.observe(job.route.name, run_s)
     elif end is RunEnd.FAILED:
         target.failures_in_row += 1
@@ -128,8 +129,8 @@
         target.paused_until = max(target.paused_until, now + pause_s)
 
 
-def _learn_paces(tables: Tables, ports: Ports, job: Job) -> None:
-    """Take in what the tasks of a complete job tell of their targets' speeds."""
+def _record_target_paces(tables: Tables, ports: Ports, job: Job) -> None:
+    """Update the speeds of targets from the run times of a complete job."""
     expected = tables.expected
     name = job.route.name
     runs = [
@@ -137,7 +138,7 @@
         for task in job.tasks_by_ref.values()
         if task.length_s and task.first_started_at == task.last_started_at
         if (target := tables.targets_by_id.get(task.last_target_id)) is not None
-        if target.slowness < SOUND_SLOWNESS
+        if target.slowness < MAX_HEALTHY_SLOWNESS
     ]
     if not runs:
         return
@@ -153,8 +154,11 @@
             )
 
 
-def learn_speed(target: Target, job: Job, run_s: float) -> None:
-    """Take in how long a run took, or will take, on a target."""
+def update_slowness(target: Target, job: Job, run_s: float) -> None:
+    """Update a target's slowness from the actual or predicted time of a run.
+
+    :param run_s: length of the run, or a lower bound of it, in seconds.
+    """
     ratio = run_s / max(job.expected_run_s, 1e-3)
     target.slowness += SLOWNESS_WEIGHT * (min(ratio, 10.0) - target.slowness)
     target.note_change()
@@ -168,7 +172,7 @@
         tables.requeue(job)
     job.remaining_by_group[task.ref.group] -= 1
     if job.remaining == 0:
-        _learn_paces(tables, ports, job)
+        _record_target_paces(tables, ports, job)
         settle(
             tables,
             ports,
@@ -191,7 +195,7 @@
         failures=task.failures,
         attempts=job.route.max_attempts,
     )
-    put_back(tables, task.ref)
+    requeue_task(tables, task.ref)
     if task.failures >= job.route.max_attempts:
         outcome = Outcome(verdict=Verdict.FAILED, reason="task_failed")
         settle(tables, ports, job, outcome, now)
--- a/src/cassiaturn/workload/_settle.py
+++ b/src/cassiaturn/workload/_settle.py
@@ -1,12 +1,12 @@
-"""How a job ends: one outcome, and nothing of it left to run."""
+"""Ends a job: records its one outcome and stops its remaining runs."""
 
 from cassiaturn.observability import Event
 from cassiaturn.workload._job_timing import job_timing
 from cassiaturn.workload._ports import Ports
 from cassiaturn.workload._tables import (
+    EndedJob,
     Job,
     Outcome,
-    Retired,
     Run,
     RunState,
     Tables,
@@ -17,8 +17,8 @@
 def settle(
     tables: Tables, ports: Ports, job: Job, outcome: Outcome, now: float
 ) -> None:
-    """Give a job its outcome and stop what still runs of it."""
-    _count(tables, outcome)
+    """Send a job's outcome to its callers and stop its remaining runs."""
+    _count_outcome(tables, outcome)
     ports.finish(job, outcome)
     ports.record(
         Event.JOB_ENDED,
@@ -33,7 +33,7 @@
     )
     if job.begun and (job.is_tight or outcome.verdict is Verdict.ABANDONED):
         _record_timing(tables, ports, job, outcome, now)
-    retire(tables, ports, job, outcome, now)
+    remove_ended_job(tables, ports, job, outcome, now)
 
 
 def _record_timing(
@@ -64,16 +64,16 @@
     return round(seconds * 1000)
 
 
-def retire(
+def remove_ended_job(
     tables: Tables, ports: Ports, job: Job, outcome: Outcome | None, now: float
 ) -> None:
-    """Take a job out of the tables, and stop what still runs of it.
+    """Remove a job from the tables and stop its remaining runs.
 
-    :param outcome: what a late resubmission is told; None: it runs again.
+    :param outcome: the answer to a late resubmission; None: the job runs again.
     """
     tables.remove_job(job)
     next_run = max(task.next_run for task in job.tasks_by_ref.values())
-    tables.retired_by_id[job.job_id] = Retired(
+    tables.ended_jobs_by_id[job.job_id] = EndedJob(
         outcome=outcome, next_run=next_run, at=now
     )
     for task in job.tasks_by_ref.values():
@@ -82,14 +82,14 @@
 
 
 def stop(tables: Tables, ports: Ports, run: Run, now: float) -> None:
-    """Order a run to be stopped; it counts as running until it is over."""
+    """Order a run to stop; it counts as running until its end is confirmed."""
     run.state = RunState.STOPPING
     run.order_sent_at = now
     tables.counters.stops += 1
     ports.stop(run)
 
 
-def _count(tables: Tables, outcome: Outcome) -> None:
+def _count_outcome(tables: Tables, outcome: Outcome) -> None:
     match outcome.verdict:
         case Verdict.COMPLETED:
             tables.counters.completed += 1
