--- a/src/cassiaturn/fleet/_losses.py
+++ b/src/cassiaturn/fleet/_answer_loss.py
@@ -27,7 +27,7 @@
 """Weight of one answer in the usual time: about the last ten count."""
 
 
-class UsualAnswer:
+class AnswerTimeEstimate:
     """How long a target takes to answer at once."""
 
     __slots__ = ("_mean_s",)
@@ -48,7 +48,7 @@
         return min(longest_s, max(SHORTEST_WAIT_S, USUAL_ANSWERS * self._mean_s))
 
 
-class Losses:
+class AnswerLossMonitor:
     """What a leader's links to targets have seen lost; share one."""
 
     __slots__ = ("_last_at",)
@@ -63,7 +63,7 @@
         """
         self._last_at = now
 
-    def are_frequent(self, now: float) -> bool:
+    def is_lossy(self, now: float) -> bool:
         """Return whether further answers are likely to be lost.
 
         :param now: time in seconds.
--- a/src/cassiaturn/fleet/_follow.py
+++ b/src/cassiaturn/fleet/_follow.py
@@ -18,7 +18,7 @@
 )
 from cassiaturn.fleet._desk import JobDesk, OpenJob
 from cassiaturn.fleet._follower import BEAT_S
-from cassiaturn.fleet._leadership import Leadership, Look, NoLook
+from cassiaturn.fleet._leadership import Leadership, Look, LookFailure
 from cassiaturn.fleet._roster import Roster
 from cassiaturn.fleet._routing import RoutingKeeper
 from cassiaturn.observability import Event, log_event
@@ -312,7 +312,7 @@
     address: Address,
     token: int,
     announced: Leadership | None = None,
-) -> Look | NoLook:
+) -> Look | LookFailure:
     """Ask a member what it knows of a leader.
 
     :param address: where the member serves others.
@@ -326,7 +326,7 @@
     except STREAM_ERRORS as error:
         log_event(Event.PEER_LOST, address=str(address), detail=repr(error))
         is_refused = isinstance(error, ConnectionRefusedError)
-        return NoLook.REFUSED if is_refused else NoLook.SILENT
+        return LookFailure.REFUSED if is_refused else LookFailure.SILENT
     finally:
         channel.close()
     return Look(
--- a/src/cassiaturn/fleet/_leader.py
+++ b/src/cassiaturn/fleet/_leader.py
@@ -15,8 +15,8 @@
 )
 from cassiaturn.fleet._desk import JobDesk, OpenJob
 from cassiaturn.fleet._failures import report_failure
-from cassiaturn.fleet._held_targets import HeldTargets
 from cassiaturn.fleet._leader_load import LeaderLoad
+from cassiaturn.fleet._leader_targets import LeaderTargets
 from cassiaturn.fleet._leadership import Leadership
 from cassiaturn.fleet._ports import PlatformServices
 from cassiaturn.fleet._routing import RoutingKeeper
@@ -113,7 +113,7 @@
             knows_targets=knows_all_targets and bool(known_targets),
             routing=routing.current,
         )
-        self._targets = HeldTargets(
+        self._targets = LeaderTargets(
             reports_by_id=known_targets,
             tables=self._tables,
             orders=self,
@@ -235,13 +235,13 @@
             begun_earlier=begun_earlier,
             failure_domain=self._failure_domain,
         )
-        self.take(submission)
+        self.accept_submission(submission)
 
     def cancel(self, job_id: str) -> None:
         """Take back this member's own interest in a job."""
-        self.take_back(job_id, self.leadership.member_id)
+        self.cancel_for_member(job_id, self.leadership.member_id)
 
-    def take(self, submission: Submission) -> None:
+    def accept_submission(self, submission: Submission) -> None:
         """Take a job of any member."""
         outcome = workload.submit(self._tables, self, submission, time.monotonic())
         if outcome is not None:
@@ -270,7 +270,7 @@
         if workload.confirm(self._tables, job_id):
             self._dispatch_soon()
 
-    def take_back(self, job_id: str, member_id: str) -> None:
+    def cancel_for_member(self, job_id: str, member_id: str) -> None:
         """Take back a member's interest in a job."""
         workload.cancel(self._tables, self, job_id, member_id, time.monotonic())
         self._dispatch_soon()
@@ -384,7 +384,7 @@
             self._ticked_at = now
             if now - due_at >= STOOD_STILL_S:
                 self._resume_at = now + RESUME_WAIT_S
-            self._load.ticked(now - due_at)
+            self._load.observe_loop_delay(now - due_at)
             share = (time.process_time() - used_s) / (now - began_at)
             self._spare_time.observe(now - due_at, share)
             self._shed_load(now - due_at, now)
--- a/src/cassiaturn/fleet/_leader_load.py
+++ b/src/cassiaturn/fleet/_leader_load.py
@@ -86,7 +86,9 @@
             began_at=time.monotonic(), called_bytes_before=called_bytes
         )
 
-    def sent(self, kind: str, member_id: str, size: int, waited_s: float) -> None:
+    def count_frame(
+        self, kind: str, member_id: str, size: int, waited_s: float
+    ) -> None:
         """Count a frame to a follower.
 
         :param kind: of the frame, as the schema names it.
@@ -105,7 +107,7 @@
         self._period.bytes_by_kind[kind] += size
         self._period.longest_wait_s = max(self._period.longest_wait_s, waited_s)
 
-    def requested(self, kind: str, answer_s: float | None) -> None:
+    def count_request(self, kind: str, answer_s: float | None) -> None:
         """Count a request to a target.
 
         :param kind: ``start``, ``stop`` or ``list``.
@@ -119,7 +121,7 @@
         else:
             self._metrics.target_answered(kind, answer_s)
 
-    def ticked(self, late_s: float) -> None:
+    def observe_loop_delay(self, late_s: float) -> None:
         """Count a timer of the event loop.
 
         :param late_s: by how much it fired late, in seconds.
@@ -127,7 +129,7 @@
         self._metrics.loop_late(late_s)
         self._period.latest_s = max(self._period.latest_s, late_s)
 
-    def tell(
+    def log_if_due(
         self,
         *,
         followers: int,
--- a/src/cassiaturn/fleet/_leader_row.py
+++ b/src/cassiaturn/fleet/_leader_row.py
@@ -31,7 +31,7 @@
 """Longest wait for the table service, in seconds. It may be 50 times as slow as its
 usual 4 ms; a leader is missed meanwhile, so waiting longer is no better."""
 
-GLANCE_TIMEOUT_S = 0.1
+QUICK_READ_TIMEOUT_S = 0.1
 """Longest wait for the row where members can do without it, in seconds: 25 times the
 usual one. The leases of a lost leader's tasks end meanwhile."""
 
@@ -58,7 +58,7 @@
         self._renewal = 0
         self._malformed = SeldomLog()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Begin to watch the row anew, as after the loss of a leader."""
         self._version = ABSENT_VERSION
         self._renewed = False
--- a/src/cassiaturn/fleet/_held_targets.py
+++ b/src/cassiaturn/fleet/_leader_targets.py
@@ -6,9 +6,9 @@
 
 from cassiaturn import workload
 from cassiaturn.entities import TargetReport
+from cassiaturn.fleet._answer_loss import AnswerLossMonitor
 from cassiaturn.fleet._directory import Directory
 from cassiaturn.fleet._leader_load import LeaderLoad
-from cassiaturn.fleet._losses import Losses
 from cassiaturn.fleet._ports import Authority, TargetCalls
 from cassiaturn.fleet._routing import RoutingKeeper
 from cassiaturn.fleet._target_link import TargetEvents, TargetLink
@@ -16,11 +16,11 @@
 from cassiaturn.workload import Ports, Run, StartOrder, Tables, WorkloadSettings
 
 
-class TargetOrders(TargetEvents, Ports, Protocol):
+class LeaderPorts(TargetEvents, Ports, Protocol):
     """What the leader is told of targets, and gives orders by."""
 
 
-class HeldTargets:
+class LeaderTargets:
     """A link to each target of the directory whose service is configured."""
 
     def __init__(
@@ -28,7 +28,7 @@
         *,
         reports_by_id: Mapping[str, TargetReport],
         tables: Tables,
-        orders: TargetOrders,
+        orders: LeaderPorts,
         calls: TargetCalls,
         routing: RoutingKeeper,
         load: LeaderLoad,
@@ -58,7 +58,7 @@
         self._on_news = on_news
         self._directory = Directory(reports_by_id=reports_by_id)
         self._links_by_id: dict[str, TargetLink] = {}
-        self._losses = Losses()
+        self._answer_loss = AnswerLossMonitor()
         self._ignored = SeldomLog()
 
     @property
@@ -172,7 +172,7 @@
             has_tight_runs=lambda: workload.has_tight_runs(self._tables, target),
             ended_seen=lambda: target.ended_seen,
             targets=lambda: len(self._links_by_id),
-            losses=self._losses,
+            answer_loss=self._answer_loss,
             load=self._load,
             settings=self._settings,
         )
--- a/src/cassiaturn/fleet/_leadership.py
+++ b/src/cassiaturn/fleet/_leadership.py
@@ -175,7 +175,7 @@
     """Width of its host's link, in megabits a second; 0: not told."""
 
 
-class NoLook(Enum):
+class LookFailure(Enum):
     """Why another member said nothing."""
 
     REFUSED = auto()
@@ -186,7 +186,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Situation:
+class ElectionView:
     """What a member without a leader knows."""
 
     loss: Loss
@@ -243,64 +243,64 @@
     """Refuse callers and look again."""
 
 
-def latest(situation: Situation) -> Leadership | None:
+def latest(view: ElectionView) -> Leadership | None:
     """Return the latest leadership that anybody named."""
-    named = [situation.known, situation.row_leadership]
-    named.extend(look.highest for look in situation.looks)
+    named = [view.known, view.row_leadership]
+    named.extend(look.highest for look in view.looks)
     present = [leadership for leadership in named if leadership is not None]
     return max(present, key=lambda leadership: leadership.token, default=None)
 
 
-def next_step(situation: Situation) -> Step:
+def next_step(view: ElectionView) -> Step:
     """Return what a member without a leader does.
 
-    :param situation: what it knows.
+    :param view: what it knows.
     """
-    known_token = situation.known.token if situation.known else NO_TOKEN
-    newest = latest(situation)
+    known_token = view.known.token if view.known else NO_TOKEN
+    newest = latest(view)
     if newest is not None and newest.token > known_token:
         return Step.FOLLOW
-    if situation.loss is Loss.ASKED:
+    if view.loss is Loss.ASKED:
         # The leader that stops still leads, so others hear it.
-        has_row = situation.row is not RowState.UNREADABLE
+        has_row = view.row is not RowState.UNREADABLE
         return Step.CLAIM if has_row else Step.CLAIM_ALONE
-    if situation.leader_answers:
+    if view.leader_answers:
         # Only the connection fell silent. A claim would make every member move and
         # every target be asked anew, and this one's jobs would wait for it.
         return Step.FOLLOW_AGAIN
-    if any(look.hears_leader for look in situation.looks):
+    if any(look.hears_leader for look in view.looks):
         # The leader lives and only this member is cut off from it. A claim would
         # take the targets away from everybody else.
         return Step.WAIT
-    if situation.known is None or not situation.knows_targets:
-        return _without_targets(situation)
-    if not _is_lost(situation) or situation.members_before > situation.tries:
+    if view.known is None or not view.knows_targets:
+        return _without_targets(view)
+    if not _is_lost(view) or view.members_before > view.tries:
         # An earlier member that answers claims first. Claims at once would have to be
         # told apart by the table service, which may take longer than the leases last.
         return Step.WAIT
-    if situation.wider_is_silent and not situation.tries:
+    if view.wider_is_silent and not view.tries:
         # A busy member misses a look. A claim past it would let a link lead that does
         # not carry the orders, until the next change of leader.
         return Step.WAIT
-    has_row = situation.row is not RowState.UNREADABLE
-    if has_row and (situation.members_before or not situation.looks):
+    has_row = view.row is not RowState.UNREADABLE
+    if has_row and (view.members_before or not view.looks):
         return Step.CLAIM
     return Step.CLAIM_ALONE
 
 
-def _is_lost(situation: Situation) -> bool:
+def _is_lost(view: ElectionView) -> bool:
     """Return whether it is the leader that is gone, and not this member."""
-    if situation.loss is Loss.GONE or situation.looks:
+    if view.loss is Loss.GONE or view.looks:
         # Its process ended, or others miss it too.
         return True
-    return situation.row in (RowState.ABSENT, RowState.STALE)
+    return view.row in (RowState.ABSENT, RowState.STALE)
 
 
-def _without_targets(situation: Situation) -> Step:
+def _without_targets(view: ElectionView) -> Step:
     """Return the step of a member that can lead only with the table service."""
-    if situation.row is RowState.UNREADABLE:
+    if view.row is RowState.UNREADABLE:
         # Without the directory it would know no target.
         return Step.WAIT
-    if _is_lost(situation):
+    if _is_lost(view):
         return Step.CLAIM
     return Step.WAIT
--- a/src/cassiaturn/fleet/_member.py
+++ b/src/cassiaturn/fleet/_member.py
@@ -18,14 +18,14 @@
 from cassiaturn.fleet._leader_load import LeaderLoad
 from cassiaturn.fleet._leader_row import (
     CALL_TIMEOUT_S,
-    GLANCE_TIMEOUT_S,
+    QUICK_READ_TIMEOUT_S,
     LeaderRow,
 )
 from cassiaturn.fleet._leadership import (
     NO_TOKEN,
+    ElectionView,
     Leadership,
     Loss,
-    Situation,
     Step,
     latest,
     next_leadership,
@@ -37,7 +37,7 @@
 from cassiaturn.fleet._roster import Roster
 from cassiaturn.fleet._routing import RoutingKeeper
 from cassiaturn.fleet._service import FleetService
-from cassiaturn.fleet._suspicion import Suspicion
+from cassiaturn.fleet._superseded_signal import SupersededSignal
 from cassiaturn.fleet._term import LeaderTerm
 from cassiaturn.observability import Event, FleetMetrics, log_event
 from cassiaturn.settings import FleetSettings
@@ -99,7 +99,7 @@
         self._roster = Roster()
         self._neighbours = Neighbours(settings=settings, roster=self._roster)
         self._following: Following | None = None
-        self._suspicion = Suspicion()
+        self._superseded_signal = SupersededSignal()
         self._term: LeaderTerm | None = None
         self._resigned = asyncio.Event()
         self._news = asyncio.Event()
@@ -163,7 +163,7 @@
         self.known = leadership
         self._news.set()
         if self.leader is not None:
-            self._suspicion.signal()
+            self._superseded_signal.signal()
         elif self._following is not None:
             self._following.leave_for(leadership)
 
@@ -179,7 +179,7 @@
     def note_token(self, token: int) -> None:
         """Take in that somebody has seen a later leadership."""
         if self.leader is not None and token > self.leader.leadership.token:
-            self._suspicion.signal()
+            self._superseded_signal.signal()
 
     async def run(self) -> None:
         """Lead or follow until cancelled."""
@@ -279,10 +279,10 @@
         # One after the other, an outage of the table service would cost callers the
         # longest wait for it on top of the one for members that are gone.
         view, around = await asyncio.gather(
-            self._row.read(GLANCE_TIMEOUT_S if knows_targets else CALL_TIMEOUT_S),
+            self._row.read(QUICK_READ_TIMEOUT_S if knows_targets else CALL_TIMEOUT_S),
             self._neighbours.look(self.known),
         )
-        situation = Situation(
+        election_view = ElectionView(
             loss=loss,
             known=self.known,
             row=view.state,
@@ -295,17 +295,17 @@
             knows_targets=knows_targets,
             leader_answers=loss is Loss.SILENT and around.leader_answers,
         )
-        step = next_step(situation)
-        newest = latest(situation)
+        step = next_step(election_view)
+        newest = latest(election_view)
         if step is Step.FOLLOW:
             self.known = newest
         log_event(
             Event.LEADER_LOST,
             loss=loss,
             step=step,
-            row=situation.row,
-            looks=len(situation.looks),
-            asked=situation.members_asked,
+            row=election_view.row,
+            looks=len(election_view.looks),
+            asked=election_view.members_asked,
             token=newest.token if newest is not None else 0,
         )
         return step
@@ -335,7 +335,7 @@
         followed = await following.run()
         self._following = None
         if followed.welcomed:
-            self._row.forget()
+            self._row.reset()
         log_event(
             Event.LEADER_LOST,
             leader=leadership.member_id,
@@ -393,7 +393,7 @@
         leadership = self.known
         if leadership is None:
             raise AssertionError("a claim sets the leadership")
-        self._suspicion.settle()
+        self._superseded_signal.reset()
         leader = Leader(
             leadership=leadership,
             services=self._services,
@@ -403,7 +403,7 @@
             settings=settings_for_lease(self.settings.lease_ms / MILLISECONDS),
             known_targets=self._roster.targets_by_id,
             knows_all_targets=self._roster.is_whole,
-            on_superseded=self._suspicion.signal,
+            on_superseded=self._superseded_signal.signal,
             load=self.load,
             failure_domain=self.settings.failure_domain,
         )
@@ -425,12 +425,12 @@
             member=self,
             row=self._row,
             neighbours=self._neighbours,
-            suspicion=self._suspicion,
+            superseded_signal=self._superseded_signal,
         )
         self._step_down(await self._term.run())
 
     def _tell_load(self) -> None:
-        sent_mbps = self.load.tell(
+        sent_mbps = self.load.log_if_due(
             followers=len(self.service.followers),
             waiting=self.service.most_waiting,
             called_bytes=self._services.bytes_sent(),
--- a/src/cassiaturn/fleet/_neighbours.py
+++ b/src/cassiaturn/fleet/_neighbours.py
@@ -16,7 +16,7 @@
 
 from cassiaturn.entities import Address
 from cassiaturn.fleet._follow import look_at
-from cassiaturn.fleet._leadership import NO_TOKEN, Leadership, Look, NoLook
+from cassiaturn.fleet._leadership import NO_TOKEN, Leadership, Look, LookFailure
 from cassiaturn.fleet._roster import Roster
 from cassiaturn.settings import FleetSettings
 
@@ -145,22 +145,24 @@
             wider_is_silent=self._is_wider_silent(looks_by_address),
         )
 
-    def _count_before(self, looks_by_address: Mapping[str, Look | NoLook]) -> int:
+    def _count_before(self, looks_by_address: Mapping[str, Look | LookFailure]) -> int:
         return sum(
             isinstance(look, Look) and self._place(address, look.link_mbps) < self._own
             for address, look in looks_by_address.items()
         )
 
-    def _is_wider_silent(self, looks_by_address: Mapping[str, Look | NoLook]) -> bool:
+    def _is_wider_silent(
+        self, looks_by_address: Mapping[str, Look | LookFailure]
+    ) -> bool:
         return any(
-            looks_by_address.get(member.address) is NoLook.SILENT
+            looks_by_address.get(member.address) is LookFailure.SILENT
             and -member.link_mbps < self._own.negative_link_mbps
             for member in self._roster.members
         )
 
-    async def _ask_lost(self, lost: Leadership | None) -> Look | NoLook:
+    async def _ask_lost(self, lost: Leadership | None) -> Look | LookFailure:
         if lost is None or lost.address == self._own.address:
-            return NoLook.REFUSED
+            return LookFailure.REFUSED
         return await look_at(to_address(lost.address), lost.token)
 
     async def announce(self, leadership: Leadership) -> Sequence[Look]:
@@ -198,14 +200,14 @@
 
 async def _look_at_all(
     addresses: Sequence[str], token: int
-) -> dict[str, Look | NoLook]:
+) -> dict[str, Look | LookFailure]:
     looks = await asyncio.gather(
         *(look_at(to_address(address), token) for address in addresses)
     )
     return dict(zip(addresses, looks, strict=True))
 
 
-def _still_leads(own_word: Look | NoLook, lost: Leadership | None) -> bool:
+def _still_leads(own_word: Look | LookFailure, lost: Leadership | None) -> bool:
     """Return whether a member says of itself that it leads."""
     if not isinstance(own_word, Look) or own_word.highest is None or lost is None:
         return False
--- a/src/cassiaturn/fleet/_service.py
+++ b/src/cassiaturn/fleet/_service.py
@@ -264,7 +264,9 @@
             await stream.send_message(frame)
             kind = frame.WhichOneof("frame") or "unknown"
             waited_s = time.monotonic() - queued.queued_at
-            self._load.sent(kind, follower.hello.member_id, frame.ByteSize(), waited_s)
+            self._load.count_frame(
+                kind, follower.hello.member_id, frame.ByteSize(), waited_s
+            )
             if kind == "redirect":
                 return
 
@@ -308,11 +310,13 @@
                         failure_domain=follower.hello.failure_domain,
                         unread_s=unread_s,
                     )
-                    leader.take(submission)
+                    leader.accept_submission(submission)
                 case "confirm":
                     leader.confirm(frame.confirm.job_id)
                 case "cancel":
-                    leader.take_back(frame.cancel.job_id, follower.hello.member_id)
+                    leader.cancel_for_member(
+                        frame.cancel.job_id, follower.hello.member_id
+                    )
                 case "beat":
                     follower.note_routing(frame.beat.routing_version)
                     follower.leaving = frame.beat.leaving
--- a/src/cassiaturn/fleet/_suspicion.py
+++ b/src/cassiaturn/fleet/_superseded_signal.py
@@ -6,7 +6,7 @@
 """Least time between two looks for a later leader, in seconds."""
 
 
-class Suspicion:
+class SupersededSignal:
     """Signs that a later leader may be there."""
 
     def __init__(self) -> None:
@@ -17,7 +17,7 @@
         """Take in a sign: a target or a member has seen a higher token."""
         self._signs.set()
 
-    def settle(self) -> None:
+    def reset(self) -> None:
         """Forget earlier signs, as at the begin of a term."""
         self._was_signalled = False
 
--- a/src/cassiaturn/fleet/_target_link.py
+++ b/src/cassiaturn/fleet/_target_link.py
@@ -16,10 +16,10 @@
 from returns.result import Failure, Result, Success
 
 from cassiaturn.entities import LeaseReport, StartAnswer, TaskRef
+from cassiaturn.fleet._answer_loss import AnswerLossMonitor, AnswerTimeEstimate
 from cassiaturn.fleet._failures import report_failure
 from cassiaturn.fleet._leader_load import LeaderLoad
 from cassiaturn.fleet._lease_clock import LeaseClock
-from cassiaturn.fleet._losses import Losses, UsualAnswer
 from cassiaturn.fleet._ports import (
     Authority,
     CallProblem,
@@ -100,7 +100,7 @@
         has_tight_runs: Callable[[], bool],
         ended_seen: Callable[[], int],
         targets: Callable[[], int],
-        losses: Losses,
+        answer_loss: AnswerLossMonitor,
         load: LeaderLoad,
         settings: WorkloadSettings,
     ) -> None:
@@ -110,7 +110,7 @@
         :param has_tight_runs: whether some of it may end too late for its caller.
         :param ended_seen: sequence of the last end that was taken in.
         :param targets: how many targets the leader holds.
-        :param losses: what all links of the leader have seen lost.
+        :param answer_loss: what all links of the leader have seen lost.
         :param load: counts the requests.
         """
         self.authority = authority
@@ -120,9 +120,9 @@
         self._has_tight_runs = has_tight_runs
         self._ended_seen = ended_seen
         self._targets = targets
-        self._losses = losses
+        self._answer_loss = answer_loss
         self._load = load
-        self._usual_answer = UsualAnswer()
+        self._answer_time = AnswerTimeEstimate()
         self._waiting: asyncio.Task[None] | None = None
         self._waiting_since = 0.0
         self._clock = LeaseClock(settings=settings)
@@ -165,7 +165,7 @@
         if self._is_renewing or not self._has_runs():
             return
         every_s = LOOK_EVERY_S if self._has_tight_runs() else RENEW_EVERY_S
-        if self._losses.are_frequent(now):
+        if self._answer_loss.is_lossy(now):
             every_s = LOSSY_LOOK_EVERY_S
         if now - self._renewed_at >= list_period_s(every_s, targets=self._targets()):
             self._spawn(self._renew())
@@ -240,8 +240,8 @@
     async def _ask(self, *, wait_s: float, renew: bool) -> None:
         asked_at = time.monotonic()
         timeout_s = ANSWER_TIMEOUT_S
-        if not (wait_s or self._is_silent) and self._losses.are_frequent(asked_at):
-            timeout_s = self._usual_answer.timeout_s(ANSWER_TIMEOUT_S)
+        if not (wait_s or self._is_silent) and self._answer_loss.is_lossy(asked_at):
+            timeout_s = self._answer_time.timeout_s(ANSWER_TIMEOUT_S)
         problem = await self._take_list(
             wait_s=wait_s, renew=renew, timeout_s=wait_s + timeout_s
         )
@@ -261,10 +261,10 @@
         if self._is_silent:
             return False
         if self._answered_at > asked_at:
-            self._losses.note(time.monotonic())
+            self._answer_loss.note(time.monotonic())
             log_event(Event.TARGET_UNANSWERED, target=self.authority.target_id)
             return True
-        if self._losses.are_frequent(asked_at):
+        if self._answer_loss.is_lossy(asked_at):
             return await self._answers_one_of(LOSSY_LOOKS)
         self._events.on_unanswered(self.authority.target_id)
         return await self._answers_one_of(1)
@@ -275,13 +275,13 @@
         The last one is waited for as long as ever: where answers take longer all at
         once, every target would count as silent by what was usual before.
         """
-        timeouts_s = [self._usual_answer.timeout_s(SECOND_LOOK_S)] * (looks - 1)
+        timeouts_s = [self._answer_time.timeout_s(SECOND_LOOK_S)] * (looks - 1)
         for timeout_s in [*timeouts_s, SECOND_LOOK_S]:
             problem = await self._take_list(
                 wait_s=0.0, renew=False, timeout_s=timeout_s
             )
             if problem is None:
-                self._losses.note(time.monotonic())
+                self._answer_loss.note(time.monotonic())
                 return True
             if not isinstance(problem, NoAnswer):
                 return False
@@ -309,7 +309,7 @@
             case Success(report):
                 self._note_clock(report.clock_ms)
                 if not wait_s:
-                    self._usual_answer.observe(time.monotonic() - asked_at)
+                    self._answer_time.observe(time.monotonic() - asked_at)
                 self._is_silent = False
                 if report.ended and not wait_s:
                     self._ask_anew_if_unheard(asked_at)
@@ -329,7 +329,7 @@
         the ends of that second are heard of by periodic looks alone.
         """
         waiting = self._waiting
-        if waiting is None or not self._losses.are_frequent(asked_at):
+        if waiting is None or not self._answer_loss.is_lossy(asked_at):
             return
         if self._waiting_since < asked_at:
             waiting.cancel()
@@ -363,8 +363,8 @@
         late comes after the end of its lease or of its run, and is refused.
         """
         timeouts_s = [ORDER_TIMEOUT_S] * START_COPIES
-        if self._losses.are_frequent(time.monotonic()):
-            short_s = self._usual_answer.timeout_s(ORDER_TIMEOUT_S)
+        if self._answer_loss.is_lossy(time.monotonic()):
+            short_s = self._answer_time.timeout_s(ORDER_TIMEOUT_S)
             timeouts_s = [short_s] * (LOSSY_START_COPIES - 1)
             timeouts_s.append(ORDER_TIMEOUT_S)
         reply = await self._send_copy(order, timeouts_s[0])
@@ -373,7 +373,7 @@
                 return reply
             reply = await self._send_copy(order, timeout_s)
             if reply.answer is not StartAnswer.UNKNOWN:
-                self._losses.note(time.monotonic())
+                self._answer_loss.note(time.monotonic())
                 return replace(reply, answer=_after_lost_copy(reply.answer))
         return reply
 
@@ -412,7 +412,7 @@
 
     def _count(self, kind: str, sent_at: float, answered: bool) -> None:
         answer_s = time.monotonic() - sent_at if answered else None
-        self._load.requested(kind, answer_s)
+        self._load.count_request(kind, answer_s)
 
     def _take_problem(self, problem: CallProblem) -> None:
         target_id = self.authority.target_id
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -9,7 +9,7 @@
 from cassiaturn.fleet._leadership import Leadership, Look
 from cassiaturn.fleet._neighbours import Neighbours, to_address
 from cassiaturn.fleet._service import FleetService
-from cassiaturn.fleet._suspicion import Suspicion
+from cassiaturn.fleet._superseded_signal import SupersededSignal
 from cassiaturn.observability import Event, log_event
 
 CUT_SETTLE_S = 0.3
@@ -47,23 +47,23 @@
         member: TermMember,
         row: LeaderRow,
         neighbours: Neighbours,
-        suspicion: Suspicion,
+        superseded_signal: SupersededSignal,
     ) -> None:
         """Prepare a term that has been claimed; :meth:`run` keeps it.
 
-        :param suspicion: signs that a later leader may be there.
+        :param superseded_signal: signs that a later leader may be there.
         """
         self._leader = leader
         self._member = member
         self._row = row
         self._neighbours = neighbours
-        self._suspicion = suspicion
+        self._superseded_signal = superseded_signal
         self._silent_members = 0
 
     def note_silent_member(self) -> None:
         """Take in that a follower does not answer."""
         self._silent_members += 1
-        self._suspicion.signal()
+        self._superseded_signal.signal()
 
     async def run(self) -> Leadership:
         """Keep the term until another member leads; returns its leadership."""
@@ -97,7 +97,7 @@
                 continue
             if self._silent_members:
                 await self._outrank_far_side()
-            await self._suspicion.wait(RENEW_ROW_S)
+            await self._superseded_signal.wait(RENEW_ROW_S)
 
     async def _raise_token(self, terms: int) -> None:
         """Overtake a token that targets obey and nobody leads by.
--- a/src/cassiaturn/fleet/tests/test_leader_load.py
+++ b/src/cassiaturn/fleet/tests/test_leader_load.py
@@ -16,14 +16,14 @@
     stream = io.StringIO()
     log = configure_logging(stream=stream)
     load = LeaderLoad(metrics=FleetMetrics(member_name="m", failure_domain="a"))
-    load.sent("roster", "front-1/5c0e", 20_000, 0.7)
-    load.sent("outcome", "front-1/5c0e", 40, 0.7)
-    load.requested("start", None)
-    load.requested("start", 0.004)
-    load.ticked(0.002)
+    load.count_frame("roster", "front-1/5c0e", 20_000, 0.7)
+    load.count_frame("outcome", "front-1/5c0e", 40, 0.7)
+    load.count_request("start", None)
+    load.count_request("start", 0.004)
+    load.observe_loop_delay(0.002)
     load._period.began_at = time.monotonic() - LINE_EVERY_S
-    load.tell(followers=1, waiting=31, called_bytes=5_000)
-    load.tell(followers=1, waiting=31, called_bytes=5_000)
+    load.log_if_due(followers=1, waiting=31, called_bytes=5_000)
+    load.log_if_due(followers=1, waiting=31, called_bytes=5_000)
     log.close()
     (line,) = stream.getvalue().splitlines()
     for pair in (
@@ -45,12 +45,12 @@
     stream = io.StringIO()
     log = configure_logging(stream=stream)
     load = LeaderLoad(metrics=FleetMetrics(member_name="m", failure_domain="a"))
-    load.requested("start", 0.004)
+    load.count_request("start", 0.004)
     load._period.began_at = time.monotonic() - 50.0
     load.begin_term(called_bytes=5_000)
-    load.tell(followers=1, waiting=0, called_bytes=5_100)
+    load.log_if_due(followers=1, waiting=0, called_bytes=5_100)
     load._period.began_at -= LINE_EVERY_S
-    load.tell(followers=1, waiting=0, called_bytes=5_200)
+    load.log_if_due(followers=1, waiting=0, called_bytes=5_200)
     log.close()
     (line,) = stream.getvalue().splitlines()
     assert "calls_b=200" in line
@@ -60,11 +60,11 @@
 def test_the_metrics_tell_kinds_and_followers_apart() -> None:
     metrics = FleetMetrics(member_name="m", failure_domain="a")
     load = LeaderLoad(metrics=metrics)
-    load.sent("roster", "front-1/5c0e", 20_000, 0.7)
-    load.sent("beat", "front-2/77aa", 6, 0.0)
-    load.requested("list", 0.004)
-    load.requested("stop", None)
-    load.ticked(0.002)
+    load.count_frame("roster", "front-1/5c0e", 20_000, 0.7)
+    load.count_frame("beat", "front-2/77aa", 6, 0.0)
+    load.count_request("list", 0.004)
+    load.count_request("stop", None)
+    load.observe_loop_delay(0.002)
     text = metrics.exposition().decode()
     for line in (
         'cassiaturn_follower_bytes_total{kind="roster"} 20000.0',
--- a/src/cassiaturn/fleet/tests/test_leadership.py
+++ b/src/cassiaturn/fleet/tests/test_leadership.py
@@ -5,11 +5,11 @@
 import pytest
 
 from cassiaturn.fleet._leadership import (
+    ElectionView,
     Leadership,
     Look,
     Loss,
     RowState,
-    Situation,
     Step,
     latest,
     next_leadership,
@@ -28,7 +28,7 @@
 HEARS = Look(hears_leader=True, highest=OLD)
 
 
-def _situation(**changes: object) -> Situation:
+def _election_view(**changes: object) -> ElectionView:
     values: dict[str, object] = {
         "loss": Loss.SILENT,
         "known": OLD,
@@ -39,7 +39,7 @@
         "members_before": 0,
     }
     values.update(changes)
-    return Situation(**values)  # type: ignore[arg-type]
+    return ElectionView(**values)  # type: ignore[arg-type]
 
 
 CASES: Mapping[str, tuple[Mapping[str, object], Step]] = {
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("case", CASES)
 def test_next_step(case: str) -> None:
     changes, step = CASES[case]
-    assert next_step(_situation(**changes)) is step
+    assert next_step(_election_view(**changes)) is step
 
 
 def test_tokens_rise_with_each_term() -> None:
@@ -181,8 +181,8 @@
 
 def test_the_latest_leadership_wins_wherever_it_was_heard() -> None:
     looks = (Look(hears_leader=False, highest=NEW), MISSES)
-    assert latest(_situation(looks=looks)) == NEW
-    assert latest(_situation(row_leadership=NEW)) == NEW
+    assert latest(_election_view(looks=looks)) == NEW
+    assert latest(_election_view(row_leadership=NEW)) == NEW
 
 
 @pytest.mark.parametrize("value", ["", "{}", "[1]", '{"token":"x"}', "null", "\0"])
--- a/src/cassiaturn/fleet/tests/test_neighbours.py
+++ b/src/cassiaturn/fleet/tests/test_neighbours.py
@@ -7,7 +7,7 @@
 
 from cassiaturn.entities import Address
 from cassiaturn.fleet import _neighbours
-from cassiaturn.fleet._leadership import Look, NoLook
+from cassiaturn.fleet._leadership import Look, LookFailure
 from cassiaturn.fleet._neighbours import (
     ASKED_AT_ONCE,
     EARLY_MEMBERS,
@@ -65,11 +65,11 @@
 
     async def look_at(
         self, address: Address, token: int, announced: object = None
-    ) -> Look | NoLook:
+    ) -> Look | LookFailure:
         self.count += 1
         member = self._members_by_address[str(address)]
         if not self._answers(member):
-            return NoLook.SILENT
+            return LookFailure.SILENT
         return Look(hears_leader=False, highest=None, link_mbps=member.link_mbps)
 
 
--- a/src/cassiaturn/fleet/tests/test_target_link.py
+++ b/src/cassiaturn/fleet/tests/test_target_link.py
@@ -7,8 +7,12 @@
 from returns.result import Failure, Result, Success
 
 from cassiaturn.entities import EndedRun, LeaseReport, RunEnd, StartAnswer, TaskRef
+from cassiaturn.fleet._answer_loss import (
+    SHORTEST_WAIT_S,
+    AnswerLossMonitor,
+    AnswerTimeEstimate,
+)
 from cassiaturn.fleet._leader_load import LeaderLoad
-from cassiaturn.fleet._losses import SHORTEST_WAIT_S, Losses, UsualAnswer
 from cassiaturn.fleet._ports import Authority, CallProblem, NoAnswer, StartReply
 from cassiaturn.fleet._target_link import TargetLink
 from cassiaturn.fleet._target_timing import (
@@ -234,7 +238,7 @@
     link = _link(calls, Events())
     await link._renew()
     await link._start(StartOrder(target_id="t", ref=REF, number=65, payload="x"))
-    assert not link._losses.are_frequent(time.monotonic())
+    assert not link._answer_loss.is_lossy(time.monotonic())
 
 
 async def test_copies_of_a_start_follow_sooner_where_answers_get_lost() -> None:
@@ -245,13 +249,13 @@
     calls = Calls([True], (LOST, StartAnswer.STARTED, LOST, LOST, StartAnswer.STARTED))
     link = _link(calls, Events())
     for _ in range(50):
-        link._usual_answer.observe(0.004)
+        link._answer_time.observe(0.004)
     order = StartOrder(target_id="t", ref=REF, number=65, payload="x")
     await link._start(order)
     assert calls.timeouts_s == [ORDER_TIMEOUT_S] * 2
     await link._start(order)
     short_s, again_s, last_s = calls.timeouts_s[2:]
-    assert short_s == again_s == last_s == link._usual_answer.timeout_s(1.0)
+    assert short_s == again_s == last_s == link._answer_time.timeout_s(1.0)
     assert short_s < ORDER_TIMEOUT_S
 
 
@@ -267,7 +271,7 @@
     """
     events = Events()
     link = _link(Calls(answers), events)
-    link._losses.note(time.monotonic())
+    link._answer_loss.note(time.monotonic())
     began_at = time.monotonic()
     await link._renew()
     assert events.silent == silent
@@ -283,7 +287,7 @@
 def test_an_answer_is_waited_for_by_what_is_usual(
     answer_s: float, timeout_s: float
 ) -> None:
-    usual = UsualAnswer()
+    usual = AnswerTimeEstimate()
     for _ in range(100):
         usual.observe(answer_s)
     assert usual.timeout_s(0.08) == pytest.approx(timeout_s, rel=0.01)
@@ -300,8 +304,8 @@
     events = Events()
     link = _link(calls, events)
     for _ in range(100):
-        link._usual_answer.observe(0.003)
-    link._losses.note(time.monotonic())
+        link._answer_time.observe(0.003)
+    link._answer_loss.note(time.monotonic())
     await link._renew()
     assert events.silent == 0
     assert events.reports == 1
@@ -315,7 +319,7 @@
     """
     calls = Calls([True])
     link = _link(calls, Events())
-    link._losses.note(time.monotonic())
+    link._answer_loss.note(time.monotonic())
     lost = asyncio.get_running_loop().create_future()
     link._waiting = asyncio.ensure_future(asyncio.wait_for(lost, 5.0))
     link._waiting_since = time.monotonic()
@@ -345,7 +349,7 @@
         has_tight_runs=lambda: False,
         ended_seen=lambda: 0,
         targets=lambda: 1,
-        losses=Losses(),
+        answer_loss=AnswerLossMonitor(),
         load=LeaderLoad(metrics=FleetMetrics(member_name="m", failure_domain="a")),
         settings=WorkloadSettings(),
     )
