--- a/src/cassiaturn/fleet/_answer_loss.py
+++ b/src/cassiaturn/fleet/_answer_loss.py
@@ -1,71 +1,75 @@
-"""Whether single answers of targets get lost at present.
+"""Detects whether single answers of targets are being lost, and adapts timeouts.
 
-Load pattern: a part of all orders to targets gets no answer, while the targets live
-and work on. Each order waits for a timeout before it is sent again, and a request that
-waits for ends hears of none: with three orders in twenty lost, three of four callers
-are late.
+Load pattern: a fraction of the requests to targets gets no answer although the targets
+are up and working. Each request waits for a timeout before it is sent again, and a lost
+long poll reports no completions: when 15 % of the requests are lost, three of four
+callers get their results late.
 
-Grounds: a target that leaves an order unanswered and answers the next one lives, so
-what was lost was the answer. One cut off or dead answers none of them and says nothing
-here, so that a cut costs no further requests.
+Grounds: a target that leaves one request unanswered and answers the next is alive, so
+only the answer was lost. A target that is dead or behind a network partition answers
+neither and is not counted here, so a partition causes no additional requests.
 """
 
-LOSSY_S = 2.0
-"""How long answers count as being lost after one, in seconds: at one in twenty, some
-ten requests a second lose the next within it."""
+LOSS_WINDOW_S = 2.0
+"""Time after a lost answer during which further losses are expected, in seconds: at a
+loss of one in twenty, ten requests a second see the next one within this time."""
 
 
-USUAL_ANSWERS = 4.0
-"""How many times the usual answer an order is waited for while answers get lost: of
-those that come, one in a hundred takes longer."""
+TIMEOUT_FACTOR = 4.0
+"""Timeout while answers are lost, as a multiple of the mean answer time: one in a
+hundred of the answers that arrive takes longer."""
 
-SHORTEST_WAIT_S = 0.012
-"""Shortest such wait, in seconds: a turn of a leader's loop that starts a large job
-takes half of it."""
+MIN_TIMEOUT_S = 0.012
+"""Shortest such timeout, in seconds: twice as long as the leader's event loop is busy
+when it starts a large job."""
 
-FOLLOW = 0.1
-"""Weight of one answer in the usual time: about the last ten count."""
+ESTIMATE_WEIGHT = 0.1
+"""Weight of one answer in the moving average: it spans about the last ten answers."""
 
 
 class AnswerTimeEstimate:
-    """How long a target takes to answer at once."""
+    """Moving average of the time that a target takes to answer immediately."""
 
     __slots__ = ("_mean_s",)
 
     def __init__(self) -> None:
-        # Before the first answer: what a target of another region takes.
+        # Until the first answer: the answer time of a target in another region.
         self._mean_s = 0.02
 
     def observe(self, answer_s: float) -> None:
-        """Take in how long an answer took that was not waited for, in seconds."""
-        self._mean_s += FOLLOW * (answer_s - self._mean_s)
+        """Record the time of an answer to a request that was no long poll, in seconds.
+
+        :param answer_s: time from the request to its answer, in seconds.
+        """
+        self._mean_s += ESTIMATE_WEIGHT * (answer_s - self._mean_s)
 
     def timeout_s(self, longest_s: float) -> float:
-        """Return how long an answer is waited for while others get lost, in seconds.
+        """Return the timeout to use while answers are lost, in seconds.
 
-        :param longest_s: how long it would be waited for otherwise, in seconds.
+        :param longest_s: the timeout while no answers are lost, in seconds; an upper
+            bound.
         """
-        return min(longest_s, max(SHORTEST_WAIT_S, USUAL_ANSWERS * self._mean_s))
+        return min(longest_s, max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * self._mean_s))
 
 
 class AnswerLossMonitor:
-    """What a leader's links to targets have seen lost; share one."""
+    """Lost answers, as seen by all links of one leader, which share one instance."""
 
     __slots__ = ("_last_at",)
 
     def __init__(self) -> None:
         self._last_at = float("-inf")
 
-    def note(self, now: float) -> None:
-        """Take in that a target answered after it had left an order unanswered.
+    def record_loss(self, now: float) -> None:
+        """Record that a target answered after it had left a request unanswered.
 
-        :param now: time in seconds.
+        :param now: monotonic time in seconds.
         """
         self._last_at = now
 
     def is_lossy(self, now: float) -> bool:
         """Return whether further answers are likely to be lost.
 
-        :param now: time in seconds.
+        :param now: monotonic time in seconds.
         """
-        return now - self._last_at < LOSSY_S
+        return now - self._last_at < LOSS_WINDOW_S
--- a/src/cassiaturn/fleet/_failures.py
+++ b/src/cassiaturn/fleet/_failures.py
@@ -1,14 +1,17 @@
-"""Failures of background tasks."""
+"""Reports failures of background tasks."""
 
 import asyncio
 
 
 def report_failure(task: "asyncio.Task[None]") -> None:
-    """Hand the failure of a background task to the loop's handler at once.
+    """Pass the exception of a background task to the event loop's handler at once.
 
-    Nobody awaits such a task. Without this a leader whose tick has failed would go on
-    without limits and leases until it is collected, and callers would wait in vain;
-    the handler ends the process, and another member leads.
+    Nothing awaits such a task. Without this, a leader whose periodic tick has failed
+    would enforce neither deadlines nor leases until the task is garbage collected, and
+    its callers would wait in vain. The handler ends the process, and another member
+    takes over.
+
+    :param task: a task that is done.
     """
     if task.cancelled():
         return
--- a/src/cassiaturn/fleet/_leader.py
+++ b/src/cassiaturn/fleet/_leader.py
@@ -1,4 +1,4 @@
-"""The member that leads: it holds every target and the queue."""
+"""The leading member: it owns the job queue and the links to all targets."""
 
 import asyncio
 import time
@@ -34,37 +34,38 @@
 )
 
 TICK_S = 0.05
-"""Period of the checks of limits and leases, in seconds: the length of the shortest
-tasks, and a twentieth of a lease."""
+"""Period of the checks of deadlines and leases, in seconds: the run time of the
+shortest tasks, and a twentieth of a lease."""
 
 DIRECTORY_WAIT_S = 1.5
-"""Longest wait for a change of the directory in one call, in seconds: a connection
-that went silent is noticed in time for a target that leaves after 2 s."""
+"""Longest wait for a change of the directory in one call, in seconds: a dead connection
+is noticed in time for a target that leaves after 2 s."""
 
 DIRECTORY_PAUSE_S = 0.3
-"""Least pause between two such calls, in seconds. Targets write every 1.5 s each,
-so calls without a pause would come back at once."""
+"""Minimum pause between two such calls, in seconds. Every target writes its entry each
+1.5 s, so without a pause every call would return immediately."""
 
-STOOD_STILL_S = 0.75
-"""Time without a tick after which followers have another leader, in seconds."""
+STALL_S = 0.75
+"""Time without a tick after which followers have elected another leader, in seconds."""
 
-RESUME_WAIT_S = 0.3
-"""How long a process that stood still starts nothing, in seconds: what it had queued
-may run under another leader, and its followers and targets tell so within this time."""
+STALL_RECOVERY_S = 0.3
+"""Time for which a process starts nothing after it was paused, in seconds: its queued
+jobs may run under another leader, and followers and targets report that leader within
+this time."""
 
-LEFTOVER_S = 0.3
-"""When a superseded leader stops what it left, in seconds: its successor has reached
-every target that it can reach by then, and those refuse the order."""
+LEFTOVER_STOP_DELAY_S = 0.3
+"""Delay before a superseded leader stops its remaining runs, in seconds: by then its
+successor has contacted every target that it can reach, and those refuse the order."""
 
 
 class FollowerPort(Protocol):
-    """What the leader tells one member."""
+    """Sends the leader's decisions to one follower."""
 
     def taken_in(self, job_id: str) -> None:
-        """Tell that a job is started once it is confirmed."""
+        """Report that a job was accepted and will start once it is confirmed."""
 
     def outcome(self, job_id: str, outcome: Outcome) -> None:
-        """Tell how a job ended."""
+        """Report the outcome of a job."""
 
 
 class Leader:
@@ -87,15 +88,18 @@
     ) -> None:
         """Prepare to lead; :meth:`open` starts it.
 
-        :param known_targets: the directory as the last leader handed it on, by id.
-        :param knows_all_targets: whether that leader had handed on all of it.
+        :param leadership: the term that this member has claimed.
+        :param desk: the jobs of this member's own callers.
+        :param known_targets: the directory by target id, as far as the last leader
+            handed it over.
+        :param knows_all_targets: whether that leader handed over all of it.
         :param on_superseded: called when a target obeys a later leader.
-        :param load: counts what leading costs.
-        :param failure_domain: where this member runs.
+        :param load: measures the load of leading.
+        :param failure_domain: failure domain of this member.
         """
         self.leadership = leadership
         self.waits_for_confirmation = False
-        """What this member's own callers ask for is started at once."""
+        """Jobs of this member's own callers start without a confirmation."""
 
         self.followers_by_id: dict[str, FollowerPort] = {}
         self._services = services
@@ -116,7 +120,7 @@
         self._targets = LeaderTargets(
             reports_by_id=known_targets,
             tables=self._tables,
-            orders=self,
+            leader_ports=self,
             calls=services.targets,
             routing=routing,
             load=load,
@@ -125,19 +129,20 @@
             on_change=lambda target_id, report: self.on_directory_change(
                 target_id, report
             ),
-            on_news=self._dispatch_soon,
+            on_capacity_change=self._schedule_dispatch,
         )
         self._shedder = LoadShedder()
         self._spare_time = SpareTime()
         self._tasks: list[asyncio.Task[None]] = []
-        self._dispatch_due = False
+        self._is_dispatch_scheduled = False
         self._behind_since = 0.0
-        """Since when jobs that could be in time are left for want of time, in seconds;
-        0: none is."""
+        """Monotonic time since which every pass over the queue has left jobs unstarted
+        that could still be in time, in seconds; 0 if the last pass left none."""
 
         self._ticked_at = time.monotonic()
         self._resume_at = 0.0
-        """Until when nothing is started, after the process stood still, in seconds."""
+        """Monotonic time before which nothing starts, after a process pause, in
+        seconds."""
 
         self._closed = False
         self.on_directory_change: Callable[[str, TargetReport | None], None] = (
@@ -152,7 +157,7 @@
 
     @property
     def superseded_ids(self) -> set[str]:
-        """Targets that last answered that they obey a later leader."""
+        """Targets whose last answer was that they obey a later leader."""
         return self._targets.superseded_ids
 
     @property
@@ -162,22 +167,22 @@
 
     @property
     def shed_share(self) -> float:
-        """Share of all new jobs, 0 to 1, that this process is too full for."""
+        """Fraction of new jobs, 0 to 1, that are refused to relieve this process."""
         return self._shedder.share
 
     @property
     def asks_first(self) -> bool:
-        """Whether members should have their new jobs wait for a confirmation."""
+        """Whether new jobs of followers wait for a confirmation before they start."""
         return self._spare_time.is_there
 
     @property
     def heard_targets(self) -> int:
-        """Targets that have told what runs there, and answer."""
+        """Number of targets that answer and have reported what they run."""
         targets = self._tables.targets_by_id.values()
         return sum(target.heard and not target.silent for target in targets)
 
     def open(self) -> None:
-        """Take every known target and begin."""
+        """Open links to the known targets and start to lead."""
         self._targets.open()
         watch = Watch(
             name="directory",
@@ -194,15 +199,15 @@
         self._desk.attach(self)
 
     def raise_token(self, leadership: Leadership) -> None:
-        """Go on under a higher token; what runs and waits is still known.
+        """Continue with a higher token; runs and queued jobs are kept.
 
-        :param leadership: this member's, with the higher token.
+        :param leadership: this member's leadership with the higher token.
         """
         self.leadership = leadership
         self._targets.use_token(leadership.token)
 
     def close(self) -> None:
-        """Give no more orders."""
+        """Stop leading: send no more orders."""
         self._closed = True
         self._desk.detach(self)
         for task in self._tasks:
@@ -210,21 +215,25 @@
         self._targets.close()
 
     async def stop_leftovers(self) -> None:
-        """Stop what runs on targets that the successor has not reached.
+        """Stop the runs on targets that the successor has not reached.
 
-        After a cut that heals, the successor may still miss a target. What runs
-        there keeps its lease for a second more, and its caller may come back to the
-        successor before that and have its task run twice at once. Targets that obey
-        the successor refuse these orders, so nothing that it took over is stopped.
+        After a network partition heals, the successor may still miss a target. A run
+        there keeps its lease for another second. Its caller may submit the job to the
+        successor before that, so that the task would run twice at the same time.
+        Targets that obey the successor refuse these orders, so runs that it took over
+        are not stopped.
         """
-        await asyncio.sleep(LEFTOVER_S)
+        await asyncio.sleep(LEFTOVER_STOP_DELAY_S)
         for run in self._tables.runs_by_ref.values():
             self.stop(run)
 
-    # What members ask for.
+    # Requests of members.
 
     def submit(self, job: OpenJob, *, begun_earlier: bool) -> None:
-        """Take a job of this member's own callers."""
+        """Accept a job of this member's own callers.
+
+        :param begun_earlier: whether it may have begun under an earlier leader.
+        """
         now = time.monotonic()
         submission = Submission(
             request=job.request,
@@ -238,11 +247,11 @@
         self.accept_submission(submission)
 
     def cancel(self, job_id: str) -> None:
-        """Take back this member's own interest in a job."""
+        """Cancel a job on behalf of this member's own callers."""
         self.cancel_for_member(job_id, self.leadership.member_id)
 
     def accept_submission(self, submission: Submission) -> None:
-        """Take a job of any member."""
+        """Queue or refuse a job of any member."""
         outcome = workload.submit(self._tables, self, submission, time.monotonic())
         if outcome is not None:
             log_event(
@@ -256,73 +265,80 @@
                 heard=self.heard_targets,
                 version=self._routing.version,
             )
-            self._tell(submission.origin, submission.request.job_id, outcome)
+            self._send_outcome(submission.origin, submission.request.job_id, outcome)
             return
         if submission.is_confirmed:
-            self._dispatch_soon()
+            self._schedule_dispatch()
             return
         follower = self.followers_by_id.get(submission.origin)
         if follower is not None:
             follower.taken_in(submission.request.job_id)
 
     def confirm(self, job_id: str) -> None:
-        """Start a job of a member's: a later leader is told that it may have begun."""
+        """Allow a member's job to start.
+
+        The member has recorded that the job may have begun, and would tell a later
+        leader.
+        """
         if workload.confirm(self._tables, job_id):
-            self._dispatch_soon()
+            self._schedule_dispatch()
 
     def cancel_for_member(self, job_id: str, member_id: str) -> None:
-        """Take back a member's interest in a job."""
+        """Cancel a job on behalf of one member; it goes on while others wait for it."""
         workload.cancel(self._tables, self, job_id, member_id, time.monotonic())
-        self._dispatch_soon()
+        self._schedule_dispatch()
 
     def drop_member(self, member_id: str) -> None:
-        """End the jobs of a member that is gone."""
+        """Remove a follower that is gone, and cancel its jobs."""
         self.followers_by_id.pop(member_id, None)
         workload.on_member_gone(self._tables, self, member_id, time.monotonic())
-        self._dispatch_soon()
+        self._schedule_dispatch()
 
     def waiting_by_route(self) -> dict[str, int]:
-        """Return the jobs of each route of which no task has started."""
+        """Return the number of jobs without a started task, by route name."""
         counts: dict[str, int] = {}
         for job in self._tables.jobs_by_id.values():
             if not job.begun:
                 counts[job.route.name] = counts.get(job.route.name, 0) + 1
         return counts
 
-    # What the tables ask for.
+    # Decisions of the tables.
 
     def start(self, order: StartOrder) -> None:
-        """Order a start."""
+        """Send an order to start a run."""
         self._targets.start(order)
         job = self._tables.jobs_by_id[order.ref.job_id]
         wait_s = time.monotonic() - job.arrived_at
         self._metrics.started(job.route.name, job.route.priority, wait_s)
 
     def stop(self, run: Run) -> None:
-        """Order a run to stop."""
+        """Send an order to stop a run."""
         self._targets.stop(run)
 
     def finish(self, job: Job, outcome: Outcome) -> None:
-        """Tell every member whose callers wait."""
+        """Send the outcome of a job to every member whose callers wait for it."""
         for origin in job.origins:
-            self._tell(origin, job.job_id, outcome)
+            self._send_outcome(origin, job.job_id, outcome)
 
     def record(self, event: Event, **fields: object) -> None:
         """Log a decision."""
         log_event(event, **fields)
 
-    # What targets tell.
+    # Events of targets.
 
     def on_report(
         self, target_id: str, report: LeaseReport, *, asked_at: float
     ) -> None:
-        """Take in what runs on a target."""
+        """Apply a target's report of its runs.
+
+        :param asked_at: monotonic time of the request, in seconds.
+        """
         now = time.monotonic()
         self.superseded_ids.discard(target_id)
         workload.on_lease_report(
             self._tables, self, target_id, report, asked_at=asked_at, now=now
         )
-        self._dispatch_soon()
+        self._schedule_dispatch()
 
     def on_start_answer(
         self,
@@ -332,7 +348,12 @@
         answer: StartAnswer,
         clock_ms: int | None,
     ) -> None:
-        """Take in what became of an order to start."""
+        """Apply the answer to a start order.
+
+        :param number: number of the run.
+        :param clock_ms: the target's clock when it answered, in milliseconds; None if
+            it was not told.
+        """
         now = time.monotonic()
         workload.on_start_answer(
             self._tables,
@@ -345,48 +366,48 @@
             clock_ms=clock_ms,
         )
         if answer is not StartAnswer.STARTED:
-            self._dispatch_soon()
+            self._schedule_dispatch()
 
     def on_stop_answer(self, target_id: str, ref: TaskRef, number: int) -> None:
-        """Take in that an order to stop was obeyed."""
+        """Record that a target has stopped a run."""
         workload.on_stop_answer(self._tables, target_id, ref, number, time.monotonic())
 
     def on_unanswered(self, target_id: str) -> None:
-        """Send a target nothing new until it is asked again."""
+        """Start nothing on a target until it has answered the repeated request."""
         log_event(Event.TARGET_UNANSWERED, target=target_id, asked_again=True)
         workload.on_target_unanswered(self._tables, target_id, time.monotonic())
 
     def on_silent(self, target_id: str) -> None:
-        """Send a target nothing new until it answers."""
+        """Start nothing on a target until it answers again."""
         workload.on_target_silent(self._tables, self, target_id)
 
     def on_lost(self, target_id: str, reason: str) -> None:
-        """End every run of a target."""
+        """End every run of a target that is lost."""
         now = time.monotonic()
         workload.on_target_lost(self._tables, self, target_id, reason, now)
         self._targets.remove_if_missing(target_id, reason)
-        self._dispatch_soon()
+        self._schedule_dispatch()
 
     def on_superseded(self, target_id: str) -> None:
-        """Take in that a later leader gives the orders there."""
+        """Record that a target obeys a later leader."""
         self.superseded_ids.add(target_id)
         self._on_superseded()
 
-    # Time.
+    # Timers.
 
     async def _tick(self) -> None:
         while True:
             began_at = time.monotonic()
-            used_s = time.process_time()
+            cpu_before_s = time.process_time()
             due_at = began_at + TICK_S
             await asyncio.sleep(TICK_S)
             now = time.monotonic()
             self._ticked_at = now
-            if now - due_at >= STOOD_STILL_S:
-                self._resume_at = now + RESUME_WAIT_S
+            if now - due_at >= STALL_S:
+                self._resume_at = now + STALL_RECOVERY_S
             self._load.observe_loop_delay(now - due_at)
-            share = (time.process_time() - used_s) / (now - began_at)
-            self._spare_time.observe(now - due_at, share)
+            cpu_share = (time.process_time() - cpu_before_s) / (now - began_at)
+            self._spare_time.observe(now - due_at, cpu_share)
             self._shed_load(now - due_at, now)
             self.on_tick()
             self._targets.tick(now)
@@ -394,7 +415,7 @@
                 continue
             if workload.next_check(self._tables, now) is None:
                 continue
-            self._note_left(workload.tick(self._tables, self, now), now)
+            self._record_deferred(workload.tick(self._tables, self, now), now)
 
     def _shed_load(self, late_s: float, now: float) -> None:
         was_shedding = bool(self._shedder.share)
@@ -410,31 +431,34 @@
                 queued=len(self._tables.jobs_by_id),
             )
 
-    def _dispatch_soon(self) -> None:
-        # Several events of one turn of the loop share one look at the queue.
-        if not self._dispatch_due:
-            self._dispatch_due = True
+    def _schedule_dispatch(self) -> None:
+        # All events of one event loop iteration share one pass over the queue.
+        if not self._is_dispatch_scheduled:
+            self._is_dispatch_scheduled = True
             asyncio.get_running_loop().call_soon(self._dispatch)
 
     def _dispatch(self) -> None:
-        self._dispatch_due = False
+        self._is_dispatch_scheduled = False
         if self._closed:
             return
         now = time.monotonic()
-        if now < self._resume_at or now - self._ticked_at >= STOOD_STILL_S:
+        if now < self._resume_at or now - self._ticked_at >= STALL_S:
             return
-        self._note_left(workload.dispatch(self._tables, self, now), now)
+        self._record_deferred(workload.dispatch(self._tables, self, now), now)
 
-    def _note_left(self, left: Lateness | None, now: float) -> None:
-        """Take in what was left to start for want of time, though there is room."""
-        if left is not None:
-            self._dispatch_soon()
-        if left is not Lateness.IN_TIME:
+    def _record_deferred(self, deferred: Lateness | None, now: float) -> None:
+        """Note jobs that a pass over the queue left unstarted despite free capacity.
+
+        :param deferred: the best lateness among them; None if there are none.
+        """
+        if deferred is not None:
+            self._schedule_dispatch()
+        if deferred is not Lateness.IN_TIME:
             self._behind_since = 0.0
         elif not self._behind_since:
             self._behind_since = now
 
-    def _tell(self, member_id: str, job_id: str, outcome: Outcome) -> None:
+    def _send_outcome(self, member_id: str, job_id: str, outcome: Outcome) -> None:
         if member_id == self.leadership.member_id:
             self._desk.settle(job_id, outcome)
             return
@@ -443,6 +467,6 @@
             follower.outcome(job_id, outcome)
 
     def apply_routing(self, table: RoutingTable) -> None:
-        """Put a configuration in force for what is decided from now on."""
+        """Use a new configuration for all further decisions."""
         self._tables.routing = table
         self._targets.apply_routing()
--- a/src/cassiaturn/fleet/_leader_load.py
+++ b/src/cassiaturn/fleet/_leader_load.py
@@ -1,9 +1,11 @@
-"""What leading costs a host: bytes, waits and lateness, for metrics and the log.
+"""Measures the load of leading, for metrics and the log.
 
-Failure that it answers: a link or a processor that is full looks the same from
-outside, as targets and followers that do not answer. Told apart are what is sent to
-followers by kind, what waits for them, how late the event loop is, and how many
-requests to targets get no answer.
+Load pattern: the leader's link or its processor is saturated. Without these figures
+both look the same from outside: targets and followers that do not answer.
+
+Grounds: bytes sent to followers by kind of frame, and frames queued for them, show a
+full link. The delay of the event loop shows a full processor. Requests to targets
+without an answer show the effect of either.
 """
 
 import time
@@ -12,54 +14,54 @@
 
 from cassiaturn.observability import Event, FleetMetrics, log_event
 
-LINE_EVERY_S = 1.0
-"""Period of the line of a leader's load, in seconds: callers notice a second, and a
-line a second is a 600th of what a process may write."""
+LOG_PERIOD_S = 1.0
+"""Period of the load log line, in seconds: callers notice trouble of a second, and one
+line a second is a 600th of what a process may log."""
 
-BITS = 8
+BITS_PER_BYTE = 8
 
-MEGA = 1_000_000
+BITS_PER_MEGABIT = 1_000_000
 
-MOST_FOLLOWERS = 512
-"""Followers that are counted apart, by name; those past it share one count."""
+MAX_FOLLOWER_LABELS = 512
+"""Number of followers with a metric label of their own; further ones share one."""
 
-OTHERS = "others"
-"""Name of that count."""
+OTHER_FOLLOWERS_LABEL = "others"
+"""The shared label."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Period:
-    """What happened since the last line."""
+    """Counts since the last log line."""
 
     began_at: float
-    """When it began, in seconds."""
+    """Monotonic time of its start, in seconds."""
 
     bytes_by_kind: Counter[str] = field(default_factory=Counter)
     """Bytes sent to followers, by kind of frame."""
 
     requests: int = 0
-    """Requests to targets."""
+    """Requests sent to targets."""
 
     unanswered: int = 0
-    """Those that got no answer in time."""
+    """Requests to targets that got no answer in time."""
 
-    called_bytes_before: int = 0
-    """Bytes of calls when it began."""
+    called_bytes_at_start: int = 0
+    """Bytes of all calls up to the start of the period."""
 
     longest_wait_s: float = 0.0
-    """Longest wait of a frame for its follower's stream, in seconds."""
+    """Longest time that a frame was queued for its follower's stream, in seconds."""
 
-    latest_s: float = 0.0
-    """By how much the event loop was late at the most, in seconds."""
+    max_loop_delay_s: float = 0.0
+    """Largest delay of the event loop, in seconds."""
 
 
 class LeaderLoad:
-    """Counts what this member sends as the leader; one a process."""
+    """Counts what this member sends as the leader; one instance per process."""
 
     def __init__(self, *, metrics: FleetMetrics) -> None:
-        """Start counting.
+        """Register the counts as metrics.
 
-        :param metrics: shows the counts.
+        :param metrics: exposes the counts.
         """
         self.bytes_by_kind: Counter[str] = Counter()
         self.frames_by_kind: Counter[str] = Counter()
@@ -78,28 +80,28 @@
             metrics.observe_counts(f"cassiaturn.{name}", description, counts.copy)
 
     def begin_term(self, *, called_bytes: int) -> None:
-        """Begin a term; what was counted before is not part of its first line.
+        """Start a term; its first log line leaves out what was counted before.
 
-        :param called_bytes: bytes of all calls since the process began.
+        :param called_bytes: bytes of all calls since the process started.
         """
         self._period = _Period(
-            began_at=time.monotonic(), called_bytes_before=called_bytes
+            began_at=time.monotonic(), called_bytes_at_start=called_bytes
         )
 
     def count_frame(
         self, kind: str, member_id: str, size: int, waited_s: float
     ) -> None:
-        """Count a frame to a follower.
+        """Count a frame sent to a follower.
 
-        :param kind: of the frame, as the schema names it.
-        :param member_id: the follower; counted by the name of its member.
-        :param size: in bytes.
-        :param waited_s: from when there was something to send, in seconds.
+        :param kind: kind of the frame, as named in the schema.
+        :param member_id: the follower; counted by its member name alone.
+        :param size: size of the frame in bytes.
+        :param waited_s: time that the frame was queued, in seconds.
         """
         name = member_id.partition("/")[0]
         is_known = name in self.bytes_by_follower
-        if not is_known and len(self.bytes_by_follower) >= MOST_FOLLOWERS:
-            name = OTHERS
+        if not is_known and len(self.bytes_by_follower) >= MAX_FOLLOWER_LABELS:
+            name = OTHER_FOLLOWERS_LABEL
         self.bytes_by_follower[name] += size
         self.bytes_by_kind[kind] += size
         self.frames_by_kind[kind] += 1
@@ -111,7 +113,7 @@
         """Count a request to a target.
 
         :param kind: ``start``, ``stop`` or ``list``.
-        :param answer_s: time until its answer, in seconds; None: it got none.
+        :param answer_s: time until its answer, in seconds; None if it got none.
         """
         self.requests_by_kind[kind] += 1
         self._period.requests += 1
@@ -122,12 +124,12 @@
             self._metrics.target_answered(kind, answer_s)
 
     def observe_loop_delay(self, late_s: float) -> None:
-        """Count a timer of the event loop.
+        """Record the delay of the event loop.
 
-        :param late_s: by how much it fired late, in seconds.
+        :param late_s: by how much a timer fired late, in seconds.
         """
         self._metrics.loop_late(late_s)
-        self._period.latest_s = max(self._period.latest_s, late_s)
+        self._period.max_loop_delay_s = max(self._period.max_loop_delay_s, late_s)
 
     def log_if_due(
         self,
@@ -137,22 +139,23 @@
         called_bytes: int,
         asks_first: bool = False,
     ) -> float | None:
-        """Write the line of the last second, if it is over.
-
-        :param followers: members that follow.
-        :param waiting: frames that wait for the follower with the most of them.
-        :param called_bytes: bytes of all calls since the process began.
-        :param asks_first: whether new jobs wait for a confirmation now.
-        :returns: what was sent in it, in megabits a second; None: it is not over.
+        """Write the load log line and start a new period, if the current one is over.
+
+        :param followers: number of members that follow.
+        :param waiting: frames queued for the follower with the longest queue.
+        :param called_bytes: bytes of all calls since the process started.
+        :param asks_first: whether new jobs currently wait for a confirmation.
+        :returns: the send rate of the period in megabits per second; None if the period
+            is not over.
         """
         now = time.monotonic()
         period = self._period
-        if now - period.began_at < LINE_EVERY_S:
+        if now - period.began_at < LOG_PERIOD_S:
             return None
-        called = called_bytes - period.called_bytes_before
+        called = called_bytes - period.called_bytes_at_start
         sent = called + sum(period.bytes_by_kind.values())
-        sent_mbps = sent * BITS / MEGA / (now - period.began_at)
-        self._period = _Period(began_at=now, called_bytes_before=called_bytes)
+        sent_mbps = sent * BITS_PER_BYTE / BITS_PER_MEGABIT / (now - period.began_at)
+        self._period = _Period(began_at=now, called_bytes_at_start=called_bytes)
         log_event(
             Event.LEADER_LOAD,
             period_s=now - period.began_at,
@@ -166,7 +169,7 @@
             unanswered=period.unanswered,
             waiting=waiting,
             longest_wait_ms=round(period.longest_wait_s * 1000),
-            late_ms=round(period.latest_s * 1000),
+            late_ms=round(period.max_loop_delay_s * 1000),
             asks_first=asks_first,
         )
         return sent_mbps
--- a/src/cassiaturn/fleet/_leader_row.py
+++ b/src/cassiaturn/fleet/_leader_row.py
@@ -1,4 +1,4 @@
-"""The leader's row in the table service: claimed, renewed, watched."""
+"""Claims, renews and watches the leader's row in the table service."""
 
 import asyncio
 import time
@@ -15,36 +15,36 @@
 ReplyT = TypeVar("ReplyT")
 
 ROW_KEY = "leader"
-"""Key of the row."""
+"""Key of the leader's row."""
 
-RENEW_ROW_S = 0.5
-"""Period in which a leader writes its row, in seconds: two writes a second of the
-600 that the table service takes, whatever the size of the fleet."""
+ROW_RENEW_PERIOD_S = 0.5
+"""Period at which a leader writes its row, in seconds: two writes a second, of the 600
+that the table service can take, whatever the size of the fleet."""
 
-STALE_S = 1.3
-"""Time without a write after which a row's leader counts as dead, in seconds: two
-periods, and a write that takes 60 times its usual 4 ms. When all other members lose
-power, nobody is left whose word would tell their loss from this member's own cut, so
-callers are refused until then."""
+ROW_STALE_S = 1.3
+"""Time without a write after which the leader in the row counts as dead, in seconds:
+two renewal periods plus one write at 60 times its usual 4 ms. When all other members
+lose power, the last one cannot tell their loss from its own isolation by a network
+partition, and refuses callers for this time."""
 
 CALL_TIMEOUT_S = 0.7
-"""Longest wait for the table service, in seconds. It may be 50 times as slow as its
-usual 4 ms; a leader is missed meanwhile, so waiting longer is no better."""
+"""Timeout of a call to the table service, in seconds. A call may take 50 times its
+usual 4 ms. There is no leader while a member waits, so waiting longer is no better."""
 
 QUICK_READ_TIMEOUT_S = 0.1
-"""Longest wait for the row where members can do without it, in seconds: 25 times the
-usual one. The leases of a lost leader's tasks end meanwhile."""
+"""Timeout for reading the row where a member can do without it, in seconds: 25 times
+the usual time. The leases granted by the lost leader run out in the meantime."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RowView:
-    """What the row told when it was last read."""
+    """The row as of its last read."""
 
     state: RowState
-    """Whether its leader still writes it."""
+    """Whether its leader is still renewing it."""
 
     leadership: Leadership | None = None
-    """The leadership in it."""
+    """The leadership in the row; None if there is none, or it is malformed."""
 
 
 class LeaderRow:
@@ -53,22 +53,22 @@
     def __init__(self, *, table: TableService) -> None:
         self._table = table
         self._version = ABSENT_VERSION
-        self._seen_at = 0.0
+        self._changed_at = 0.0
         self._renewed = False
         self._renewal = 0
         self._malformed = SeldomLog()
 
     def reset(self) -> None:
-        """Begin to watch the row anew, as after the loss of a leader."""
+        """Discard what was observed of the row; called after the loss of a leader."""
         self._version = ABSENT_VERSION
         self._renewed = False
 
     async def read(self, timeout_s: float = CALL_TIMEOUT_S) -> RowView:
-        """Read the row, and tell whether it has changed since it is watched.
+        """Read the row, and tell whether it has changed since the first observation.
 
         :param timeout_s: longest wait, in seconds.
         """
-        result = await _bounded(self._table.read([ROW_KEY]), timeout_s)
+        result = await _call_with_timeout(self._table.read([ROW_KEY]), timeout_s)
         match result:
             case Success(rows_by_key):
                 row = rows_by_key.get(ROW_KEY)
@@ -77,19 +77,21 @@
         if row is None:
             self._version = ABSENT_VERSION
             return RowView(state=RowState.ABSENT)
-        return self._note(row)
+        return self._observe(row)
 
     async def claim(self, leadership: Leadership) -> Leadership | None:
-        """Write a leadership if the row is as it was read.
+        """Write a leadership, provided that the row is unchanged since it was read.
 
-        :returns: who holds the row now; None: the table service does not tell.
+        :param leadership: the claim.
+        :returns: the leadership that the row holds now; None if the table service does
+            not tell.
         """
         put = Put(
             key=ROW_KEY,
             value=leadership.to_value(self._renewal),
             expected_version=self._version,
         )
-        result = await _bounded(self._table.transact([put]))
+        result = await _call_with_timeout(self._table.transact([put]))
         match result:
             case Success(committed):
                 self._version = committed.versions_by_key.get(ROW_KEY, 0)
@@ -98,24 +100,29 @@
                 row = conflict.rows_by_key.get(ROW_KEY)
                 if row is None:
                     return None
-                self._note(row)
+                self._observe(row)
                 return Leadership.from_value(row.value)
-        # The answer was lost, and the claim may have been written: read it.
+        # The answer was lost and the claim may have been written, so read the row.
         view = await self.read()
         return view.leadership
 
     async def renew(self, leadership: Leadership) -> Leadership | None:
-        """Write the row again; as :meth:`claim`, unless a later leader wrote it."""
+        """Write the row again, unless a later leader has written it.
+
+        :param leadership: this member's.
+        :returns: as :meth:`claim`.
+        """
         self._renewal += 1
         holder = await self.claim(leadership)
         if holder is None or holder == leadership:
             return holder
         if holder.token < leadership.token:
-            # Claimed without the table service, or the row is an earlier life's.
+            # This term was claimed without the table service, or the row is that of an
+            # earlier incarnation of this member.
             return await self.claim(leadership)
         return holder
 
-    def _note(self, row: Row) -> RowView:
+    def _observe(self, row: Row) -> RowView:
         now = time.monotonic()
         leadership = Leadership.from_value(row.value)
         if leadership is None:
@@ -128,8 +135,8 @@
         if row.version != self._version:
             self._renewed = self._version != ABSENT_VERSION
             self._version = row.version
-            self._seen_at = now
-        if now - self._seen_at >= STALE_S:
+            self._changed_at = now
+        if now - self._changed_at >= ROW_STALE_S:
             state = RowState.STALE
         elif self._renewed:
             state = RowState.RENEWED
@@ -138,10 +145,10 @@
         return RowView(state=state, leadership=leadership)
 
 
-async def _bounded(
+async def _call_with_timeout(
     call: Awaitable[ReplyT], timeout_s: float = CALL_TIMEOUT_S
 ) -> ReplyT | None:
-    """Return the result of a call, or None if it takes too long."""
+    """Return the result of a call, or None if it times out."""
     try:
         async with asyncio.timeout(timeout_s):
             return await call
--- a/src/cassiaturn/fleet/_leader_targets.py
+++ b/src/cassiaturn/fleet/_leader_targets.py
@@ -1,4 +1,4 @@
-"""The targets that a leader gives orders to: the directory names them."""
+"""Maintains the leader's links to the targets in the directory."""
 
 import time
 from collections.abc import Callable, Mapping
@@ -17,49 +17,52 @@
 
 
 class LeaderPorts(TargetEvents, Ports, Protocol):
-    """What the leader is told of targets, and gives orders by."""
+    """The leader as its targets and its tables see it."""
 
 
 class LeaderTargets:
-    """A link to each target of the directory whose service is configured."""
+    """One link to each target of the directory whose service is configured."""
 
     def __init__(
         self,
         *,
         reports_by_id: Mapping[str, TargetReport],
         tables: Tables,
-        orders: LeaderPorts,
+        leader_ports: LeaderPorts,
         calls: TargetCalls,
         routing: RoutingKeeper,
         load: LeaderLoad,
         settings: WorkloadSettings,
         token: int,
         on_change: Callable[[str, TargetReport | None], None],
-        on_news: Callable[[], None],
+        on_capacity_change: Callable[[], None],
     ) -> None:
-        """Begin with what an earlier leader handed on.
-
-        :param tables: the leader's, where each target has its row.
-        :param token: the leader's.
-        :param on_change: told of an entry that changed; None: it is gone.
-        :param on_news: called when there may be more room than before.
+        """Start with the directory that an earlier leader handed over.
+
+        :param reports_by_id: that directory, by target id.
+        :param tables: the leader's tables, with a row for each target.
+        :param leader_ports: receives the events of targets and the decisions of the
+            tables.
+        :param token: the leader's fencing token.
+        :param on_change: receives an entry that changed, or None if it was removed.
+        :param on_capacity_change: called when more capacity may be free.
         """
         self.superseded_ids: set[str] = set()
-        """Targets that last answered that they obey a later leader."""
+        """Targets whose last answer was that they obey a later leader."""
 
         self._tables = tables
-        self._orders = orders
+        self._leader_ports = leader_ports
         self._calls = calls
         self._routing = routing
         self._load = load
         self._settings = settings
         self._token = token
         self._on_change = on_change
-        self._on_news = on_news
+        self._on_news = on_capacity_change
         self._directory = Directory(reports_by_id=reports_by_id)
         self._links_by_id: dict[str, TargetLink] = {}
         self._answer_loss = AnswerLossMonitor()
-        self._ignored = SeldomLog()
+        self._ignored_log = SeldomLog()
 
     @property
     def reports_by_id(self) -> Mapping[str, TargetReport]:
@@ -67,79 +70,92 @@
         return self._directory.reports_by_id
 
     def open(self) -> None:
-        """Take every known target."""
+        """Open a link to every known target whose service is configured."""
         for report in list(self.reports_by_id.values()):
-            self._take_report(report)
+            self._apply_report(report)
 
     def close(self) -> None:
-        """Give no more orders."""
+        """Close every link; no more orders are sent."""
         for link in self._links_by_id.values():
             link.close()
 
     def use_token(self, token: int) -> None:
-        """Give every further order under another token."""
+        """Send all further orders with another token.
+
+        :param token: the new fencing token.
+        """
         self._token = token
         self.superseded_ids.clear()
         for link in self._links_by_id.values():
             link.use_token(token)
 
     def start(self, order: StartOrder) -> None:
-        """Order a start."""
+        """Send an order to start a run."""
         self._links_by_id[order.target_id].start(order)
 
     def stop(self, run: Run) -> None:
-        """Order a run to stop, unless its target was let go."""
+        """Send an order to stop a run, unless the link to its target was closed."""
         link = self._links_by_id.get(run.target_id)
         if link is not None:
             link.stop(run)
 
     def tick(self, now: float) -> None:
-        """Renew leases that are due, and let go what is missing for too long.
+        """Renew leases that are due, and remove targets that are missing for too long.
 
-        :param now: time in seconds.
+        :param now: monotonic time in seconds.
         """
         for link in list(self._links_by_id.values()):
             link.tick(now)
         self._remove_missing(now)
 
     def on_directory(self, entries_by_key: Mapping[str, TargetReport]) -> None:
-        """Take in the whole directory."""
+        """Apply a snapshot of the directory.
+
+        :param entries_by_key: all its entries.
+        """
         for target_id in set(self.reports_by_id) - set(entries_by_key):
             self._note_missing(target_id)
         for report in entries_by_key.values():
-            self._take_report(report)
+            self._apply_report(report)
 
     def on_directory_change(self, key: str, entry: TargetReport | None) -> None:
-        """Take in an entry that changed; None: it is gone."""
+        """Apply a change of the directory.
+
+        :param key: key of the entry.
+        :param entry: its new value; None if it was removed.
+        """
         if entry is None:
             self._note_missing(key)
         else:
-            self._take_report(entry)
+            self._apply_report(entry)
 
     def remove_if_missing(self, target_id: str, reason: str) -> None:
-        """Let a target go on which nothing runs, if its entry is gone."""
+        """Remove a target without runs if its directory entry is gone.
+
+        :param reason: reason of the removal, for the log.
+        """
         if self._directory.is_missing(target_id):
             self._remove(target_id, reason)
 
     def apply_routing(self) -> None:
-        """Hold the targets of the services that are configured now."""
+        """Open and close links to match the services that are configured now."""
         for report in list(self.reports_by_id.values()):
             has_link = report.target_id in self._links_by_id
             if self._is_configured(report) and not has_link:
-                self._take_report(report)
+                self._apply_report(report)
             elif has_link and not self._is_configured(report):
-                self._let_go(report.target_id)
+                self._release_unconfigured(report.target_id)
 
-    def _take_report(self, report: TargetReport) -> None:
+    def _apply_report(self, report: TargetReport) -> None:
         target_id = report.target_id
         changed = self._directory.put(report)
         report = self.reports_by_id[target_id]
         if self._is_configured(report):
-            workload.on_target(self._tables, self._orders, report)
+            workload.on_target(self._tables, self._leader_ports, report)
             if target_id not in self._links_by_id:
                 self._open_link(report)
         elif changed:
-            self._ignored.log(
+            self._ignored_log.log(
                 Event.TARGET_IGNORED,
                 key=target_id,
                 service=report.service,
@@ -150,10 +166,11 @@
             self._on_news()
 
     def _is_configured(self, report: TargetReport) -> bool:
-        """Return whether a target's service is one that jobs can be meant for.
+        """Return whether jobs can be routed to a target's service.
 
-        Others may write into the directory. What no queue is sent to is not called: it
-        may be no target, and one that never answers would keep a new leader waiting.
+        The directory may hold entries of other writers. An entry that no route leads to
+        is not called: it may not be a target at all, and one that never answers would
+        delay a new leader.
         """
         table = self._routing.current
         return table is None or report.service in table.services_by_name
@@ -167,7 +184,7 @@
                 token=self._token,
             ),
             calls=self._calls,
-            events=self._orders,
+            events=self._leader_ports,
             has_runs=lambda: bool(target.runs_by_ref),
             has_tight_runs=lambda: workload.has_tight_runs(self._tables, target),
             ended_seen=lambda: target.ended_seen,
@@ -200,8 +217,8 @@
         self._close_link(target_id, reason)
         self._on_change(target_id, None)
 
-    def _let_go(self, target_id: str) -> None:
-        """Give up a target whose service is gone, unless something still runs there."""
+    def _release_unconfigured(self, target_id: str) -> None:
+        """Close the link to a target of a removed service, unless it has runs."""
         if not self._tables.targets_by_id[target_id].runs_by_ref:
             self._close_link(target_id, "service_gone")
 
@@ -210,5 +227,7 @@
         if link is not None:
             link.close()
         now = time.monotonic()
-        workload.on_target_gone(self._tables, self._orders, target_id, reason, now)
+        workload.on_target_gone(
+            self._tables, self._leader_ports, target_id, reason, now
+        )
         log_event(Event.TARGET_REMOVED, target=target_id, reason=reason)
--- a/src/cassiaturn/fleet/_leadership.py
+++ b/src/cassiaturn/fleet/_leadership.py
@@ -1,13 +1,13 @@
-"""Who leads, and what a member does that lost its leader.
+"""Leader election: decides what a member does that has lost its leader.
 
-Failure that it answers: the leader's process is killed, its host stands still or
-loses power, or members are cut off from each other or from the table service, in
-any combination. Callers see refusals, or answers that never come, until somebody
-leads again; two leaders of one target would run tasks twice.
+Failure: the leader's process is killed, its host is paused or loses power, or network
+partitions separate members from each other or from the table service, in any
+combination. Without an election callers get refusals or no answers at all; two leaders
+of one target would run tasks twice.
 
-Two leaders at once are harmless: a target obeys the highest token only. So nothing
-here has to be agreed on before it is safe, and the rules only decide how soon
-somebody leads and that few leaders compete.
+Grounds: two concurrent leaders are harmless, because a target obeys only the highest
+fencing token. Safety therefore needs no consensus; these rules only decide how soon a
+member leads again, and keep the number of competing leaders small.
 """
 
 import json
@@ -19,29 +19,31 @@
 from typing import TypeGuard
 
 REACH_BITS = 8
-"""Bits of a token for the members that its claimant reaches. Of two claims of one term,
-on both sides of a cut, the larger side's wins when it heals: the smaller one's would
-take every target away from most callers' leader, whose jobs are then given up."""
+"""Bits of a token for the number of members that its claimant reaches. If both sides of
+a network partition claim the same term, the larger side's claim wins once it heals. If
+the smaller side's won, every target would leave the leader of most callers, and their
+jobs would be given up."""
 
 SALT_BITS = 20
-"""Bits of a token that tell claimants of one term apart: two members cut off from
-the table service and from each other get equal tokens in one of a million cases."""
+"""Random bits of a token that distinguish claimants of one term: two members that reach
+neither the table service nor each other get equal tokens in one of a million cases."""
 
 NO_TOKEN = 0
-"""Below every token."""
+"""Lower than every token."""
 
 
 MAX_TERM = 2**32
-"""Above every term of a member: one a millisecond for seven weeks. A row by another
-writer with a larger one would leave no room for the token of the next claim."""
+"""Higher than every term that members reach: one a millisecond for seven weeks. A
+larger term, written into the row by something else, would leave no room for the token
+of the next claim."""
 
 MAX_TOKEN = (MAX_TERM + 1) << (REACH_BITS + SALT_BITS)
-"""Above every token of such a term."""
+"""Higher than every token of a valid term."""
 
-MAX_TEXT = 200
-"""Longest name or address in a row, in characters."""
+MAX_TEXT_LENGTH = 200
+"""Maximum length of a member id or address in a row, in characters."""
 
-# Checked by hand: a model for this one row takes 20 ms of every start of a process.
+# Validated by hand: a model for this one row would add 20 ms to every process start.
 _ADDRESS = re.compile(r"[0-9A-Za-z.:\[\]-]+:[0-9]{1,5}")
 
 
@@ -50,31 +52,33 @@
     """One term of one leader."""
 
     token: int
-    """Fencing token of its orders; above that of every earlier term."""
+    """Fencing token of its orders; higher than that of every earlier term."""
 
     term: int
-    """Counts the terms."""
+    """Sequence number of the term."""
 
     member_id: str
-    """The leader: one life of one process."""
+    """The leader: one incarnation of one member."""
 
     address: str
-    """Where it serves other members, ``host:port``."""
+    """Address at which it serves other members, ``host:port``."""
 
     def to_value(self, renewal: int) -> str:
-        """Return it as the value of its row.
+        """Return the JSON value of the leader's row.
 
-        :param renewal: counts how often the leader has written it.
+        :param renewal: how often the leader has renewed the row.
         """
         return json.dumps({**asdict(self), "renewal": renewal})
 
     @classmethod
     def from_value(cls, value: str) -> "Leadership | None":
-        """Return what a row holds, or None if that is no leadership.
+        """Return the leadership in a row, or None if the value is malformed.
 
-        Anybody who may write to the table may have written it. A number of another
-        type, or one that members cannot hand on to each other, would end the process
-        of every member that reads it.
+        Anything with write access to the table may have written the row. A number of
+        the wrong type, or one that does not fit into the members' messages, would crash
+        every member that reads it.
+
+        :param value: value of the row.
         """
         try:
             document = json.loads(value)
@@ -93,13 +97,13 @@
         return cls(token=token, term=term, member_id=member_id, address=address)
 
 
-def _is_number(value: object, end: int) -> TypeGuard[int]:
+def _is_number(value: object, limit: int) -> TypeGuard[int]:
     is_int = isinstance(value, int) and not isinstance(value, bool)
-    return is_int and 0 <= value < end  # type: ignore[operator]
+    return is_int and 0 <= value < limit  # type: ignore[operator]
 
 
 def _is_text(value: object) -> TypeGuard[str]:
-    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT
+    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH
 
 
 def next_leadership(
@@ -114,12 +118,13 @@
 
     :param highest: the latest leadership that it knows of.
     :param member_id: the member.
-    :param address: where it serves other members.
-    :param reach: members that answer it or follow it.
-    :param terms: terms to go ahead by; more if targets obey one that nobody knows.
+    :param address: where it serves other members, ``host:port``.
+    :param reach: number of members that answer it or follow it.
+    :param terms: by how many terms to advance; more than one if targets obey a token
+        that no known leader holds.
     """
     term = highest.term + terms if highest is not None else 0
-    # Term 0 has tokens above 0 as well: a target takes a missing token for 0.
+    # Tokens of term 0 are above 0, too, because a target reads a missing token as 0.
     size = min(reach, (1 << REACH_BITS) - 1)
     salt = secrets.randbelow(1 << SALT_BITS)
     token = (((term + 1) << REACH_BITS | size) << SALT_BITS) | salt
@@ -127,124 +132,127 @@
 
 
 class Loss(Enum):
-    """What is known of the leader that was lost."""
+    """How the leader was lost."""
 
     NEVER_KNOWN = auto()
-    """This member has not followed anybody yet."""
+    """This member has not followed a leader yet."""
 
     GONE = auto()
-    """Its process ended, or does not lead: a claim harms nobody."""
+    """Its process has ended or does not lead: a claim does no harm."""
 
     SILENT = auto()
-    """It does not answer: dead, standing still, or cut off from here."""
+    """It does not answer: dead, paused, or unreachable from here."""
 
     ASKED = auto()
-    """It asked this member to lead."""
+    """It asked this member to take over."""
 
 
 class RowState(Enum):
-    """What the leader's row in the table service tells."""
+    """State of the leader's row in the table service."""
 
     UNREADABLE = auto()
     """The table service does not answer."""
 
     ABSENT = auto()
-    """Nobody has ever led."""
+    """No member has ever led."""
 
     RENEWED = auto()
-    """Its leader has written it within the time of two renewals."""
+    """Its leader was seen to write it within the last two renewal periods."""
 
     STALE = auto()
-    """It has not been written for longer."""
+    """It has not been written for longer than that."""
 
     YOUNG = auto()
-    """It has not been watched for long enough to tell."""
+    """It has not been observed for long enough to tell."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Look:
-    """What another member says when it is asked about the leader."""
+    """Answer of another member to the question whether it hears the leader."""
 
     hears_leader: bool
-    """Whether it has heard the lost leader just now."""
+    """Whether it has heard from the lost leader very recently."""
 
     highest: Leadership | None
     """The latest leadership that it knows of."""
 
     link_mbps: float = 0.0
-    """Width of its host's link, in megabits a second; 0: not told."""
+    """Bandwidth of its host's link, in megabits per second; 0 if not told."""
 
 
 class LookFailure(Enum):
-    """Why another member said nothing."""
+    """Why another member gave no answer."""
 
     REFUSED = auto()
-    """Nothing listens at its address: its process ended."""
+    """Its address refused the connection: the process has ended."""
 
     SILENT = auto()
-    """It gave no answer in time: busy, dead, or cut off from here."""
+    """It did not answer in time: busy, dead, or unreachable from here."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ElectionView:
-    """What a member without a leader knows."""
+    """What a member without a leader knows when it decides on its next step."""
 
     loss: Loss
-    """What is known of the leader that was lost."""
+    """How the leader was lost."""
 
     known: Leadership | None
-    """The latest leadership that it knew."""
+    """The latest leadership that this member knew."""
 
     row: RowState
-    """What the row tells."""
+    """State of the leader's row."""
 
     row_leadership: Leadership | None
-    """The leadership in the row."""
+    """The leadership in the row, if any."""
 
     looks: Sequence[Look]
-    """Answers of other members."""
+    """Answers of other members about the leader."""
 
     members_asked: int
-    """Members that were asked, answers or not."""
+    """Number of members that were asked, whether they answered or not."""
 
     members_before: int
-    """Members that answer and come before this one in the order in which members
-    claim."""
+    """Number of members that answer and precede this one in the claim order."""
 
     wider_is_silent: bool = False
-    """Whether a member with a wider link than this one's gave no answer in time."""
+    """Whether a member with a faster link than this one's did not answer in time."""
 
     tries: int = 0
-    """Looks around since the loss, before this one."""
+    """Number of earlier rounds of questions since the loss."""
 
     knows_targets: bool = True
-    """Whether the lost leader had told this member which targets there are."""
+    """Whether this member got the list of targets from the lost leader."""
 
     leader_answers: bool = False
     """Whether the lost leader itself says, over a new connection, that it leads."""
 
 
 class Step(Enum):
-    """What to do next."""
+    """Next step of a member without a leader."""
 
     FOLLOW = auto()
-    """Follow the latest leadership that was heard of."""
+    """Follow the latest known leadership."""
 
     FOLLOW_AGAIN = auto()
-    """Follow the same leader again, over a new connection."""
+    """Reconnect to the same leader."""
 
     CLAIM = auto()
     """Claim the leadership by a conditional write of the row."""
 
     CLAIM_ALONE = auto()
-    """Lead at once; the row is written as soon as the table service answers."""
+    """Lead at once, and write the row as soon as the table service answers."""
 
     WAIT = auto()
-    """Refuse callers and look again."""
+    """Refuse callers, and ask again later."""
 
 
 def latest(view: ElectionView) -> Leadership | None:
-    """Return the latest leadership that anybody named."""
+    """Return the leadership with the highest token, wherever it was learned.
+
+    :param view: what the member knows.
+    :returns: the leadership; None if no member has led as far as it is known.
+    """
     named = [view.known, view.row_leadership]
     named.extend(look.highest for look in view.looks)
     present = [leadership for leadership in named if leadership is not None]
@@ -252,7 +260,7 @@
 
 
 def next_step(view: ElectionView) -> Step:
-    """Return what a member without a leader does.
+    """Return the next step of a member without a leader.
 
     :param view: what it knows.
     """
@@ -261,26 +269,27 @@
     if newest is not None and newest.token > known_token:
         return Step.FOLLOW
     if view.loss is Loss.ASKED:
-        # The leader that stops still leads, so others hear it.
+        # A leader that hands over still leads, so other members hear it.
         has_row = view.row is not RowState.UNREADABLE
         return Step.CLAIM if has_row else Step.CLAIM_ALONE
     if view.leader_answers:
-        # Only the connection fell silent. A claim would make every member move and
-        # every target be asked anew, and this one's jobs would wait for it.
+        # Only the connection failed. A claim would move every member to a new leader
+        # and have it query every target again, while this member's jobs wait.
         return Step.FOLLOW_AGAIN
     if any(look.hears_leader for look in view.looks):
-        # The leader lives and only this member is cut off from it. A claim would
-        # take the targets away from everybody else.
+        # The leader is alive and only this member does not reach it. A claim would
+        # take the targets away from all other members.
         return Step.WAIT
     if view.known is None or not view.knows_targets:
-        return _without_targets(view)
+        return _next_step_without_targets(view)
     if not _is_lost(view) or view.members_before > view.tries:
-        # An earlier member that answers claims first. Claims at once would have to be
-        # told apart by the table service, which may take longer than the leases last.
+        # A member that precedes this one in the claim order and answers claims first.
+        # The table service would have to decide between concurrent claims, which may
+        # take longer than the leases last.
         return Step.WAIT
     if view.wider_is_silent and not view.tries:
-        # A busy member misses a look. A claim past it would let a link lead that does
-        # not carry the orders, until the next change of leader.
+        # A busy member may fail to answer once. A claim that ignores it would make a
+        # member lead whose link is too slow for the orders, until the next election.
         return Step.WAIT
     has_row = view.row is not RowState.UNREADABLE
     if has_row and (view.members_before or not view.looks):
@@ -289,17 +298,17 @@
 
 
 def _is_lost(view: ElectionView) -> bool:
-    """Return whether it is the leader that is gone, and not this member."""
+    """Return whether the leader is lost, rather than this member isolated."""
     if view.loss is Loss.GONE or view.looks:
-        # Its process ended, or others miss it too.
+        # Its process has ended, or other members do not hear it either.
         return True
     return view.row in (RowState.ABSENT, RowState.STALE)
 
 
-def _without_targets(view: ElectionView) -> Step:
-    """Return the step of a member that can lead only with the table service."""
+def _next_step_without_targets(view: ElectionView) -> Step:
+    """Return the step of a member that needs the table service in order to lead."""
     if view.row is RowState.UNREADABLE:
-        # Without the directory it would know no target.
+        # Without the directory of the table service it would know no targets.
         return Step.WAIT
     if _is_lost(view):
         return Step.CLAIM
--- a/src/cassiaturn/fleet/_ports.py
+++ b/src/cassiaturn/fleet/_ports.py
@@ -1,4 +1,4 @@
-"""What the members of a fleet ask of the platform that they run on."""
+"""Interfaces between the members of a fleet and the platform that they run on."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot(Generic[EntryT]):
-    """Every entry of a list, as of one moment."""
+    """All entries of a list at one version."""
 
     version: int
-    """Version of the list; changes are asked for after it."""
+    """Version of the list; the next call asks for changes after it."""
 
     entries_by_key: Mapping[str, EntryT]
     """Every entry."""
@@ -33,22 +33,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Changes(Generic[EntryT]):
-    """What has changed of a list since a version."""
+    """Changes of a list since a version."""
 
     version: int
-    """Version to ask on from."""
+    """Version after which to ask for further changes."""
 
     entries_by_key: Mapping[str, EntryT | None]
-    """Changed entries; None: the entry was removed."""
+    """Changed entries by key; None if the entry was removed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HistoryLost:
-    """The list no longer knows what has changed since that version."""
+    """The list no longer has the changes since that version."""
 
 
 class Watchable(Protocol[EntryT]):
-    """A list that tells its changes."""
+    """A list whose changes can be polled."""
 
     async def snapshot(self) -> Result[Snapshot[EntryT], ReadError]:
         """Return every entry."""
@@ -56,7 +56,7 @@
     async def changes(
         self, after: int, wait_s: float
     ) -> Result[Changes[EntryT], ReadError | HistoryLost]:
-        """Return what has changed, as soon as anything has.
+        """Wait for changes and return them.
 
         :param after: version of the last answer.
         :param wait_s: longest wait for a change, in seconds.
@@ -67,18 +67,18 @@
     """Reads a published configuration."""
 
     def __call__(self, document: bytes) -> RoutingTable | None:
-        """Return what a document holds, or None if it is malformed."""
+        """Return the configuration in a document, or None if it is malformed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Authority:
-    """By what right a leader gives orders to a target."""
+    """Addressee and fencing token of a leader's orders to a target."""
 
     target_id: str
-    """Life of the target that is meant."""
+    """Incarnation of the target that the orders are meant for."""
 
     address: str
-    """Where it listens, ``host:port``."""
+    """Address at which it listens, ``host:port``."""
 
     token: int
     """Fencing token of the leadership."""
@@ -86,13 +86,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartReply:
-    """What became of an order to start."""
+    """Answer to a start order."""
 
     answer: StartAnswer
     """The target's answer."""
 
     clock_ms: int | None = None
-    """The target's clock when it answered."""
+    """The target's clock when it answered, in milliseconds; None if it was not told."""
 
 
 class CallProblem:
@@ -101,27 +101,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Superseded(CallProblem):
-    """A later leader gives the orders there."""
+    """The target obeys a later leader."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Gone(CallProblem):
-    """Another life of the target answered, so nothing of this one runs any more."""
+    """Another incarnation of the target answered, so no run of this one is left."""
 
     reason: str
-    """How that was seen."""
+    """How that was detected."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NoAnswer(CallProblem):
-    """No answer in time, or none that can be read; the order may have effect."""
+    """No readable answer in time; the order may have taken effect."""
 
     detail: str
-    """One sentence for people."""
+    """One human-readable sentence."""
 
 
 class TargetCalls(Protocol):
-    """Orders to targets; none is repeated, and each ends after its timeout."""
+    """Sends orders to targets, each once and with a timeout."""
 
     async def start(
         self,
@@ -131,18 +131,21 @@
         lease_until_ms: int | None,
         timeout_s: float,
     ) -> StartReply:
-        """Order a start.
+        """Order the start of a run.
 
-        :param lease_until_ms: until when the target may begin it and run it, on the
-            target's own clock; None: that clock is not known.
+        :param lease_until_ms: until when the target may start it and let it run, in
+            milliseconds on the target's own clock; None if that clock is not known.
+        :param timeout_s: longest wait for the answer, in seconds.
         """
 
     async def stop(
         self, authority: Authority, ref: TaskRef, number: int, *, timeout_s: float
     ) -> Result[int, CallProblem]:
-        """Order a run to stop.
+        """Order the stop of a run.
 
-        :returns: the target's clock, in milliseconds.
+        :param number: number of the run.
+        :param timeout_s: longest wait for the answer, in seconds.
+        :returns: the target's clock when it answered, in milliseconds.
         """
 
     async def renew(
@@ -154,33 +157,35 @@
         wait_s: float,
         timeout_s: float,
     ) -> Result[LeaseReport, CallProblem]:
-        """Renew the lease of all that runs on a target, and ask what that is.
-
-        :param ended_seen: sequence of the last end that was taken in.
-        :param lease_until_ms: end of the lease on the target's own clock; None: it
-            stays as it is.
-        :param wait_s: how long the target may wait for an end to tell, in seconds.
+        """Renew the lease of all runs on a target, and ask for a list of them.
+
+        :param ended_seen: sequence number of the last ended run that was processed.
+        :param lease_until_ms: end of the lease in milliseconds on the target's own
+            clock; None to leave it unchanged.
+        :param wait_s: how long the target may hold the request until a run ends, in
+            seconds; 0 for an immediate answer.
+        :param timeout_s: longest wait for the answer, in seconds.
         """
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformServices:
-    """Everything that a member asks of its platform."""
+    """All platform services that a member uses."""
 
     table: TableService
-    """The product's own rows."""
+    """The rows of cassiaturn itself."""
 
     routing: Watchable[RoutingTable]
     """The configuration that operators publish."""
 
     read_routing: RoutingReader
-    """Reads a version that another member handed on."""
+    """Parses a configuration that another member passed on."""
 
     directory: Watchable[TargetReport]
-    """What targets publish of themselves."""
+    """The entries that targets publish of themselves."""
 
     targets: TargetCalls
     """Orders to targets."""
 
     bytes_sent: Callable[[], int] = lambda: 0
-    """Returns the bytes of all calls since the process began."""
+    """Returns the bytes of all calls since the process started."""
--- a/src/cassiaturn/fleet/_superseded_signal.py
+++ b/src/cassiaturn/fleet/_superseded_signal.py
@@ -1,34 +1,35 @@
-"""When a leader looks for a later one before it renews its row."""
+"""Wakes a leader early to check whether another member has superseded it."""
 
 import asyncio
 
-SUPERSEDED_CHECK_S = 0.5
-"""Least time between two looks for a later leader, in seconds."""
+MIN_CHECK_INTERVAL_S = 0.5
+"""Minimum time between two such checks, in seconds."""
 
 
 class SupersededSignal:
-    """Signs that a later leader may be there."""
+    """Collects hints that a member with a higher token may lead."""
 
     def __init__(self) -> None:
         self._signs = asyncio.Event()
         self._was_signalled = False
 
     def signal(self) -> None:
-        """Take in a sign: a target or a member has seen a higher token."""
+        """Record that a target or a member has seen a higher token."""
         self._signs.set()
 
     def reset(self) -> None:
-        """Forget earlier signs, as at the begin of a term."""
+        """Forget earlier signals; called at the start of a term."""
         self._was_signalled = False
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait for a sign.
+        """Wait for a signal.
 
-        :param timeout_s: longest wait, in seconds.
+        :param timeout_s: longest wait for one, in seconds; the minimum interval after
+            an earlier signal comes on top.
         """
         self._signs.clear()
-        # Every target of the far side of a cut gives a sign again and again.
-        await asyncio.sleep(SUPERSEDED_CHECK_S if self._was_signalled else 0.0)
+        # Every target on the other side of a network partition signals repeatedly.
+        await asyncio.sleep(MIN_CHECK_INTERVAL_S if self._was_signalled else 0.0)
         try:
             async with asyncio.timeout(timeout_s):
                 await self._signs.wait()
--- a/src/cassiaturn/fleet/_target_link.py
+++ b/src/cassiaturn/fleet/_target_link.py
@@ -1,10 +1,11 @@
-"""Orders to one target, and the news of what runs there.
+"""Sends orders to one target, and tracks what runs there.
 
-One request waits at the target for the next end, so that a free place is known
-within a round trip; a second one renews the lease while the first still waits.
-Failure that it answers: a target that is cut off, stands still or whose process
-ends. Callers would wait for its tasks until their limit; here its tasks are given
-to others as soon as they are certainly over.
+A long poll waits at the target for the next run to end, so that a free slot is known
+within a round trip. Separate requests renew the lease while the long poll waits.
+
+Failure: a target is unreachable, its process is paused or has ended. Callers would wait
+for its tasks until their deadlines. Here its tasks are started on other targets as soon
+as they have certainly ended.
 """
 
 import asyncio
@@ -30,19 +31,19 @@
     TargetCalls,
 )
 from cassiaturn.fleet._target_timing import (
-    ANSWER_TIMEOUT_S,
-    BUSY_WAIT_S,
-    FIRST_COPIES_AT_S,
-    IDLE_WAIT_S,
-    LOOK_EVERY_S,
-    LOSSY_LOOK_EVERY_S,
-    LOSSY_LOOKS,
-    LOSSY_START_COPIES,
+    BUSY_LONG_POLL_S,
+    FIRST_LIST_SEND_TIMES_S,
+    IDLE_LONG_POLL_S,
+    LIST_RETRY_TIMEOUT_S,
+    LIST_TIMEOUT_S,
+    LOSSY_LIST_RETRIES,
+    LOSSY_RENEW_PERIOD_S,
+    LOSSY_START_ATTEMPTS,
     ORDER_TIMEOUT_S,
-    RENEW_EVERY_S,
-    RETRY_EVERY_S,
-    SECOND_LOOK_S,
-    START_COPIES,
+    RENEW_PERIOD_S,
+    SILENT_RETRY_PERIOD_S,
+    START_ATTEMPTS,
+    TIGHT_RENEW_PERIOD_S,
     list_period_s,
 )
 from cassiaturn.observability import Event, log_event
@@ -51,12 +52,15 @@
 
 
 class TargetEvents(Protocol):
-    """What the leader is told of a target."""
+    """Receives the events of a target."""
 
     def on_report(
         self, target_id: str, report: LeaseReport, *, asked_at: float
     ) -> None:
-        """Take in what runs there."""
+        """Handle a report of the target's runs.
+
+        :param asked_at: monotonic time of the request, in seconds.
+        """
 
     def on_start_answer(
         self,
@@ -66,29 +70,31 @@
         answer: StartAnswer,
         clock_ms: int | None,
     ) -> None:
-        """Take in what became of an order to start.
+        """Handle the answer to a start order.
 
-        :param clock_ms: what the target's clock showed when it answered.
+        :param number: number of the run.
+        :param clock_ms: the target's clock when it answered, in milliseconds; None if
+            it was not told.
         """
 
     def on_stop_answer(self, target_id: str, ref: TaskRef, number: int) -> None:
-        """Take in that an order to stop was obeyed."""
+        """Handle the confirmation of a stop order."""
 
     def on_unanswered(self, target_id: str) -> None:
-        """Take in that the target left a request unanswered, and is asked again."""
+        """Handle a request without an answer, which is repeated now."""
 
     def on_silent(self, target_id: str) -> None:
-        """Take in that the target does not answer."""
+        """Handle that the target does not answer any more."""
 
     def on_lost(self, target_id: str, reason: str) -> None:
-        """Take in that nothing runs there any more."""
+        """Handle that no run is left on the target."""
 
     def on_superseded(self, target_id: str) -> None:
-        """Take in that a later leader gives the orders there."""
+        """Handle that the target obeys a later leader."""
 
 
 class TargetLink:
-    """The leader's only way to one life of a target."""
+    """The leader's only connection to one incarnation of a target."""
 
     def __init__(
         self,
@@ -106,11 +112,15 @@
     ) -> None:
         """Prepare the link; :meth:`open` starts it.
 
-        :param has_runs: whether anything runs there that is to go on.
-        :param has_tight_runs: whether some of it may end too late for its caller.
-        :param ended_seen: sequence of the last end that was taken in.
-        :param targets: how many targets the leader holds.
-        :param answer_loss: what all links of the leader have seen lost.
+        :param authority: the target, and the token to send orders with.
+        :param events: receives what is learned of the target.
+        :param has_runs: returns whether the target has runs that are to continue.
+        :param has_tight_runs: returns whether some of them may end too late for their
+            callers.
+        :param ended_seen: returns the sequence number of the last ended run that was
+            processed.
+        :param targets: returns the number of targets that the leader has links to.
+        :param answer_loss: lost answers of all links of the leader.
         :param load: counts the requests.
         """
         self.authority = authority
@@ -123,8 +133,8 @@
         self._answer_loss = answer_loss
         self._load = load
         self._answer_time = AnswerTimeEstimate()
-        self._waiting: asyncio.Task[None] | None = None
-        self._waiting_since = 0.0
+        self._long_poll: asyncio.Task[None] | None = None
+        self._long_poll_sent_at = 0.0
         self._clock = LeaseClock(settings=settings)
         self._renewed_at = 0.0
         self._answered_at = 0.0
@@ -134,40 +144,46 @@
         self._closed = False
 
     def use_token(self, token: int) -> None:
-        """Give every further order under another token."""
+        """Send all further orders with another token.
+
+        :param token: the new fencing token.
+        """
         self.authority = replace(self.authority, token=token)
 
     def open(self) -> None:
-        """Begin to ask the target what runs there."""
-        self._spawn(self._listen())
+        """Start to poll the target for what it runs."""
+        self._spawn(self._poll_reports())
 
     def close(self) -> None:
-        """Send nothing more; what runs there ends with its lease."""
+        """Stop sending; runs on the target end with their lease."""
         self._closed = True
         for task in self._tasks:
             task.cancel()
 
     def start(self, order: StartOrder) -> None:
-        """Order a start."""
+        """Send an order to start a run."""
         self._spawn(self._start(order))
 
     def stop(self, run: Run) -> None:
-        """Order a run to stop."""
+        """Send an order to stop a run."""
         is_uncertain = not run.settled
         self._spawn(self._stop(run.ref, run.number, is_uncertain))
 
     def tick(self, now: float) -> None:
-        """Renew the lease if it is time, and notice that it has run out."""
+        """Renew the lease if it is due, and detect that it has expired.
+
+        :param now: monotonic time in seconds.
+        """
         if self._is_silent:
-            if now >= self._clock.over_at:
+            if now >= self._clock.leases_over_at:
                 self._events.on_lost(self.authority.target_id, "lease_over")
             return
         if self._is_renewing or not self._has_runs():
             return
-        every_s = LOOK_EVERY_S if self._has_tight_runs() else RENEW_EVERY_S
+        period_s = TIGHT_RENEW_PERIOD_S if self._has_tight_runs() else RENEW_PERIOD_S
         if self._answer_loss.is_lossy(now):
-            every_s = LOSSY_LOOK_EVERY_S
-        if now - self._renewed_at >= list_period_s(every_s, targets=self._targets()):
+            period_s = LOSSY_RENEW_PERIOD_S
+        if now - self._renewed_at >= list_period_s(period_s, targets=self._targets()):
             self._spawn(self._renew())
 
     def _spawn(self, work: "asyncio._CoroutineLike[None]") -> "asyncio.Task[None]":
@@ -177,120 +193,140 @@
         task.add_done_callback(report_failure)
         return task
 
-    async def _listen(self) -> None:
-        await self._survey()
+    async def _poll_reports(self) -> None:
+        await self._fetch_first_list()
         while not self._closed:
             if self._is_silent:
-                await self._look()
+                await self._probe()
                 if self._is_silent:
-                    await asyncio.sleep(RETRY_EVERY_S)
+                    await asyncio.sleep(SILENT_RETRY_PERIOD_S)
                 continue
-            wait_s = BUSY_WAIT_S if self._has_runs() else IDLE_WAIT_S
-            asking = self._ask(wait_s=wait_s, renew=self._has_runs())
-            self._waiting_since = time.monotonic()
-            self._waiting = self._spawn(asking)
-            await asyncio.wait([self._waiting])
-            self._waiting = None
-
-    async def _survey(self) -> None:
-        """Get the first list, by copies of the request until one is answered.
-
-        It tells the clock, without which no lease can be asked for, and what an earlier
-        leader left running. While one target has not told, no job of that leader can
-        be started: where single answers get lost, the loss of one of 24 first lists
-        had every such job given up, half a second after a leader fell silent.
+            wait_s = BUSY_LONG_POLL_S if self._has_runs() else IDLE_LONG_POLL_S
+            asking = self._request_list(wait_s=wait_s, renew=self._has_runs())
+            self._long_poll_sent_at = time.monotonic()
+            self._long_poll = self._spawn(asking)
+            await asyncio.wait([self._long_poll])
+            self._long_poll = None
+
+    async def _fetch_first_list(self) -> None:
+        """Request the first list repeatedly until one request is answered.
+
+        The list gives the target's clock, without which no lease can be granted, and
+        the runs of an earlier leader. Until every target has reported, no job of that
+        leader can be started: with a single request and lossy answers, the loss of one
+        of 24 first lists caused every such job to be given up, half a second after the
+        earlier leader fell silent.
         """
         settled: asyncio.Future[CallProblem | None] = (
             asyncio.get_running_loop().create_future()
         )
-        for delay_s in FIRST_COPIES_AT_S:
-            self._spawn(self._survey_copy(delay_s, settled))
+        for delay_s in FIRST_LIST_SEND_TIMES_S:
+            self._spawn(self._send_first_list_request(delay_s, settled))
         try:
-            async with answer_timeout(FIRST_COPIES_AT_S[-1] + ANSWER_TIMEOUT_S):
+            async with answer_timeout(FIRST_LIST_SEND_TIMES_S[-1] + LIST_TIMEOUT_S):
                 problem = await settled
         except TimeoutError:
             problem = NoAnswer(detail="no answer to the first requests")
         if problem is not None and not self._closed:
-            self._take_problem(problem)
+            self._handle_problem(problem)
             await self._pause_after(problem)
 
-    async def _survey_copy(
+    async def _send_first_list_request(
         self, delay_s: float, settled: "asyncio.Future[CallProblem | None]"
     ) -> None:
         await asyncio.sleep(delay_s)
         if settled.done():
             return
-        problem = await self._take_list(
-            wait_s=0.0, renew=False, timeout_s=ANSWER_TIMEOUT_S
+        problem = await self._fetch_list(
+            wait_s=0.0, renew=False, timeout_s=LIST_TIMEOUT_S
         )
         if not isinstance(problem, NoAnswer) and not settled.done():
             settled.set_result(problem)
 
-    async def _look(self) -> None:
-        # A renewal would keep alive what its tasks' next runs must not overlap.
-        await self._ask(wait_s=0.0, renew=False)
+    async def _probe(self) -> None:
+        # No renewal: it would extend runs whose tasks may be started elsewhere, and the
+        # runs of one task must not overlap.
+        await self._request_list(wait_s=0.0, renew=False)
 
     async def _renew(self) -> None:
         self._is_renewing = True
         try:
-            await self._ask(wait_s=0.0, renew=True)
+            await self._request_list(wait_s=0.0, renew=True)
         finally:
             self._is_renewing = False
 
-    async def _ask(self, *, wait_s: float, renew: bool) -> None:
+    async def _request_list(self, *, wait_s: float, renew: bool) -> None:
         asked_at = time.monotonic()
-        timeout_s = ANSWER_TIMEOUT_S
+        timeout_s = LIST_TIMEOUT_S
         if not (wait_s or self._is_silent) and self._answer_loss.is_lossy(asked_at):
-            timeout_s = self._answer_time.timeout_s(ANSWER_TIMEOUT_S)
-        problem = await self._take_list(
+            timeout_s = self._answer_time.timeout_s(LIST_TIMEOUT_S)
+        problem = await self._fetch_list(
             wait_s=wait_s, renew=renew, timeout_s=wait_s + timeout_s
         )
-        if isinstance(problem, NoAnswer) and await self._answers_after(asked_at):
+        if isinstance(problem, NoAnswer) and await self._answers_after_timeout(
+            asked_at
+        ):
             return
         if problem is not None:
-            self._take_problem(problem)
+            self._handle_problem(problem)
             await self._pause_after(problem)
 
-    async def _answers_after(self, asked_at: float) -> bool:
-        """Return whether a target lives that left a request unanswered.
+    async def _answers_after_timeout(self, asked_at: float) -> bool:
+        """Return whether the target is alive although it left a request unanswered.
 
-        Single answers get lost while a target works on. Taken for silent at the first
-        one, it gets no starts until it is heard again, and where a third of all orders
-        is lost nearly every target is silent at any time and callers get nothing.
+        Single answers may be lost while the target is working. If one lost answer made
+        it count as silent, it would get no starts until its next answer. Where a third
+        of all orders is lost, nearly every target would count as silent at any time,
+        and no jobs would complete.
+
+        :param asked_at: monotonic time of the request, in seconds.
         """
         if self._is_silent:
             return False
         if self._answered_at > asked_at:
-            self._answer_loss.note(time.monotonic())
+            self._answer_loss.record_loss(time.monotonic())
             log_event(Event.TARGET_UNANSWERED, target=self.authority.target_id)
             return True
         if self._answer_loss.is_lossy(asked_at):
-            return await self._answers_one_of(LOSSY_LOOKS)
+            return await self._retry_list(LOSSY_LIST_RETRIES)
         self._events.on_unanswered(self.authority.target_id)
-        return await self._answers_one_of(1)
+        return await self._retry_list(1)
+
+    async def _retry_list(self, attempts: int) -> bool:
+        """Request a list again until one arrives.
 
-    async def _answers_one_of(self, looks: int) -> bool:
-        """Ask again for a list until one comes; returns whether one did.
+        The last attempt has the full timeout. If all answers suddenly become slower,
+        timeouts derived from earlier answers alone would make every target count as
+        silent.
 
-        The last one is waited for as long as ever: where answers take longer all at
-        once, every target would count as silent by what was usual before.
+        :param attempts: maximum number of requests.
+        :returns: whether a list arrived.
         """
-        timeouts_s = [self._answer_time.timeout_s(SECOND_LOOK_S)] * (looks - 1)
-        for timeout_s in [*timeouts_s, SECOND_LOOK_S]:
-            problem = await self._take_list(
+        timeouts_s = [self._answer_time.timeout_s(LIST_RETRY_TIMEOUT_S)] * (
+            attempts - 1
+        )
+        for timeout_s in [*timeouts_s, LIST_RETRY_TIMEOUT_S]:
+            problem = await self._fetch_list(
                 wait_s=0.0, renew=False, timeout_s=timeout_s
             )
             if problem is None:
-                self._answer_loss.note(time.monotonic())
+                self._answer_loss.record_loss(time.monotonic())
                 return True
             if not isinstance(problem, NoAnswer):
                 return False
         return False
 
-    async def _take_list(
+    async def _fetch_list(
         self, *, wait_s: float, renew: bool, timeout_s: float
     ) -> CallProblem | None:
-        """Ask once what runs there; returns why there is no answer, if so."""
+        """Request one list, and pass it on.
+
+        :param wait_s: how long the target may hold the request, in seconds.
+        :param renew: whether to renew the lease.
+        :param timeout_s: longest wait for the answer, in seconds.
+        :returns: why there is no usable answer; None if there is one, or if the link
+            was closed.
+        """
         asked_at = time.monotonic()
         lease_until_ms = self._clock.lease_end(asked_at) if renew else None
         if lease_until_ms is not None:
@@ -302,17 +338,19 @@
             wait_s=wait_s,
             timeout_s=timeout_s,
         )
-        self._count("wait" if wait_s else "list", asked_at, _is_answered(result))
+        self._count_request(
+            "wait" if wait_s else "list", asked_at, _is_answered(result)
+        )
         if self._closed:
             return None
         match result:
             case Success(report):
-                self._note_clock(report.clock_ms)
+                self._record_clock(report.clock_ms)
                 if not wait_s:
                     self._answer_time.observe(time.monotonic() - asked_at)
                 self._is_silent = False
                 if report.ended and not wait_s:
-                    self._ask_anew_if_unheard(asked_at)
+                    self._restart_long_poll_if_lost(asked_at)
                 self._events.on_report(
                     self.authority.target_id, report, asked_at=asked_at
                 )
@@ -322,28 +360,30 @@
                 return unanswered
         raise AssertionError("a result is a success or a failure")
 
-    def _ask_anew_if_unheard(self, asked_at: float) -> None:
-        """Replace the request that waits for ends, if it should have told of one.
+    def _restart_long_poll_if_lost(self, asked_at: float) -> None:
+        """Restart the long poll if it should have reported a run that has ended.
+
+        The loss of a long poll is noticed only after its wait and its timeout, a second
+        in all. Until then only the periodic lists would report ended runs.
 
-        Lost, it is noticed only after its wait and its timeout, a second in all, and
-        the ends of that second are heard of by periodic looks alone.
+        :param asked_at: monotonic time of the request that reported it, in seconds.
         """
-        waiting = self._waiting
+        waiting = self._long_poll
         if waiting is None or not self._answer_loss.is_lossy(asked_at):
             return
-        if self._waiting_since < asked_at:
+        if self._long_poll_sent_at < asked_at:
             waiting.cancel()
 
     async def _pause_after(self, problem: CallProblem) -> None:
         if not isinstance(problem, NoAnswer):
-            await asyncio.sleep(RETRY_EVERY_S)
+            await asyncio.sleep(SILENT_RETRY_PERIOD_S)
 
     async def _start(self, order: StartOrder) -> None:
         reply = await self._send_start(order)
         if self._closed:
             return
         if reply.clock_ms is not None:
-            self._note_clock(reply.clock_ms)
+            self._record_clock(reply.clock_ms)
         self._events.on_start_answer(
             self.authority.target_id,
             order.ref,
@@ -352,32 +392,33 @@
             reply.clock_ms,
         )
         if reply.answer is StartAnswer.OTHER_LIFE:
-            self._take_problem(Gone(reason="other_life"))
+            self._handle_problem(Gone(reason="other_life"))
         elif reply.answer is StartAnswer.UNREACHABLE:
-            self._take_problem(NoAnswer(detail="connection refused"))
+            self._handle_problem(NoAnswer(detail="connection refused"))
 
     async def _send_start(self, order: StartOrder) -> StartReply:
-        """Send copies of an order until one is answered.
+        """Send a start order repeatedly until one attempt is answered.
 
-        Each names the same run, which a target starts once; one that is carried out
-        late comes after the end of its lease or of its run, and is refused.
+        The order is idempotent: all attempts name the same run, which a target starts
+        only once. A target that receives an attempt late refuses it, because its lease
+        or the run itself has ended by then.
         """
-        timeouts_s = [ORDER_TIMEOUT_S] * START_COPIES
+        timeouts_s = [ORDER_TIMEOUT_S] * START_ATTEMPTS
         if self._answer_loss.is_lossy(time.monotonic()):
             short_s = self._answer_time.timeout_s(ORDER_TIMEOUT_S)
-            timeouts_s = [short_s] * (LOSSY_START_COPIES - 1)
+            timeouts_s = [short_s] * (LOSSY_START_ATTEMPTS - 1)
             timeouts_s.append(ORDER_TIMEOUT_S)
-        reply = await self._send_copy(order, timeouts_s[0])
+        reply = await self._attempt_start(order, timeouts_s[0])
         for timeout_s in timeouts_s[1:]:
             if reply.answer is not StartAnswer.UNKNOWN or self._closed:
                 return reply
-            reply = await self._send_copy(order, timeout_s)
+            reply = await self._attempt_start(order, timeout_s)
             if reply.answer is not StartAnswer.UNKNOWN:
-                self._answer_loss.note(time.monotonic())
-                return replace(reply, answer=_after_lost_copy(reply.answer))
+                self._answer_loss.record_loss(time.monotonic())
+                return replace(reply, answer=_answer_after_lost_attempt(reply.answer))
         return reply
 
-    async def _send_copy(self, order: StartOrder, timeout_s: float) -> StartReply:
+    async def _attempt_start(self, order: StartOrder, timeout_s: float) -> StartReply:
         sent_at = time.monotonic()
         reply = await self._calls.start(
             self.authority,
@@ -385,7 +426,7 @@
             lease_until_ms=self._clock.lease_end(sent_at),
             timeout_s=timeout_s,
         )
-        self._count("start", sent_at, reply.answer is not StartAnswer.UNKNOWN)
+        self._count_request("start", sent_at, reply.answer is not StartAnswer.UNKNOWN)
         if reply.answer is StartAnswer.SUPERSEDED and not self._closed:
             self._events.on_superseded(self.authority.target_id)
         return reply
@@ -395,26 +436,27 @@
         stopped = await self._calls.stop(
             self.authority, ref, number, timeout_s=ORDER_TIMEOUT_S
         )
-        self._count("stop", sent_at, _is_answered(stopped))
+        self._count_request("stop", sent_at, _is_answered(stopped))
         match stopped:
             case Success(clock_ms):
                 if not self._closed:
-                    self._note_clock(clock_ms)
+                    self._record_clock(clock_ms)
                     self._events.on_stop_answer(self.authority.target_id, ref, number)
                     if is_uncertain:
-                        # A list from now on tells whether the run ever began. The
-                        # next periodic one would hold its place ten times as long.
-                        await self._ask(wait_s=0.0, renew=self._has_runs())
+                        # A list requested now tells whether the run ever began. Waiting
+                        # for the next periodic one would block its slot ten times as
+                        # long.
+                        await self._request_list(wait_s=0.0, renew=self._has_runs())
             case Failure(problem):
-                # It is sent again while the target lists the run.
+                # The order is sent again while the target still lists the run.
                 if not self._closed and not isinstance(problem, NoAnswer):
-                    self._take_problem(problem)
+                    self._handle_problem(problem)
 
-    def _count(self, kind: str, sent_at: float, answered: bool) -> None:
+    def _count_request(self, kind: str, sent_at: float, answered: bool) -> None:
         answer_s = time.monotonic() - sent_at if answered else None
         self._load.count_request(kind, answer_s)
 
-    def _take_problem(self, problem: CallProblem) -> None:
+    def _handle_problem(self, problem: CallProblem) -> None:
         target_id = self.authority.target_id
         match problem:
             case Superseded():
@@ -428,10 +470,10 @@
                 self._is_silent = True
                 self._events.on_silent(target_id)
 
-    def _note_clock(self, clock_ms: int) -> None:
+    def _record_clock(self, clock_ms: int) -> None:
         now = time.monotonic()
         self._answered_at = now
-        self._clock.note(clock_ms, now)
+        self._clock.observe(clock_ms, now)
 
 
 def _is_answered(result: Result[Any, CallProblem]) -> bool:
@@ -441,18 +483,20 @@
     return True
 
 
-def _after_lost_copy(answer: StartAnswer) -> StartAnswer:
-    """Return what the answer to a copy tells of the run, if an earlier one got none.
+def _answer_after_lost_attempt(answer: StartAnswer) -> StartAnswer:
+    """Return what an answer means for the run if an earlier attempt was unanswered.
 
-    A refusal says nothing of the earlier copy. A cut resets the connection that carried
-    it and refuses the next: taken for a start that never was, the task is started
-    elsewhere and runs twice at once. Unknown, it is stopped or outlived first.
+    A refusal says nothing about the earlier attempt. A network partition may reset the
+    connection of the first attempt and refuse that of the next. If the run then counted
+    as never started, the task would be started elsewhere and run twice at the same
+    time. With an unknown answer, the run is stopped or its lease expires first.
     """
     match answer:
         case StartAnswer.STARTED | StartAnswer.OTHER_LIFE:
             return answer
         case StartAnswer.OUTDATED:
-            # The earlier copy began it, and it is over: the next list tells how.
+            # The earlier attempt started the run, which has ended: the next list tells
+            # how.
             return StartAnswer.STARTED
         case _:
             return StartAnswer.UNKNOWN
--- a/src/cassiaturn/fleet/_target_timing.py
+++ b/src/cassiaturn/fleet/_target_timing.py
@@ -1,66 +1,71 @@
-"""When a target is asked, and how long its answers are waited for."""
+"""Periods and timeouts of a leader's requests to a target.
 
-BUSY_WAIT_S = 0.9
-"""How long a target may wait for an end while tasks run there, in seconds."""
+A *list* is a target's report of what it runs. A leader requests one by a long poll,
+which the target answers when a run ends, and by periodic requests, which it answers
+immediately.
+"""
 
-IDLE_WAIT_S = 1.9
-"""How long it may wait while nothing runs, in seconds: it allows 2."""
+BUSY_LONG_POLL_S = 0.9
+"""Longest time that a target may hold a long poll while it has runs, in seconds."""
 
-RENEW_EVERY_S = 0.3
-"""Period of renewals while tasks run, in seconds: two may be lost within a lease of
-a second, and progress is seen at a third of the longest usual task."""
+IDLE_LONG_POLL_S = 1.9
+"""The same while it has no runs, in seconds: targets allow 2."""
 
-LOOK_EVERY_S = 0.14
-"""Period of renewals while tasks run that may end too late, in seconds: the progress
-of a run of 1.5 s is known to a tenth after the first one, so that its caller is told
-and its place free after a tenth of the time."""
+RENEW_PERIOD_S = 0.3
+"""Period of lease renewals while tasks run, in seconds: two may be lost within a lease
+of a second, and progress is seen at a third of the longest usual task."""
 
-RETRY_EVERY_S = 0.3
-"""Pause between looks at a target that does not answer, in seconds."""
+TIGHT_RENEW_PERIOD_S = 0.14
+"""Period of lease renewals while runs may miss their deadlines, in seconds: the first
+one shows the progress of a run of 1.5 s to a tenth, so that a run that will be late is
+reported to its caller and its slot freed after a tenth of its time."""
 
-LOSSY_LOOK_EVERY_S = 0.05
-"""Period of renewals while answers get lost, in seconds: the request that waits for
-ends may be lost, too. It is the length of the shortest tasks."""
+SILENT_RETRY_PERIOD_S = 0.3
+"""Pause between requests to a target that does not answer, in seconds."""
 
-MOST_LISTS_PER_S = 1_500.0
-"""Lists that one leader asks for by period in a second, of all targets together. Where
-answers get lost, hundreds of targets would else be asked for more than the leader can
-read in time, so that more answers count as lost."""
+LOSSY_RENEW_PERIOD_S = 0.05
+"""Period of lease renewals while answers are lost, in seconds, since the long poll may
+be lost as well. It is the run time of the shortest tasks."""
 
-ANSWER_TIMEOUT_S = 0.15
-"""Longest wait for a list that should come at once, in seconds: fifty times the usual
-one, a seventh of a lease."""
+MAX_LISTS_PER_S = 1_500.0
+"""Bound on the periodic lists that one leader requests per second, over all targets.
+Without it, while answers are lost, hundreds of targets would send more lists than the
+leader can read in time, so that still more answers count as lost."""
+
+LIST_TIMEOUT_S = 0.15
+"""Timeout of a list that the target sends immediately, in seconds: fifty times its
+usual time, and a seventh of a lease."""
 
 ORDER_TIMEOUT_S = 0.08
-"""Longest wait for the answer to one copy of a start or a stop, in seconds: 25 times
-the usual one, twice the way to another region and back."""
+"""Timeout of one attempt to send a start or stop order, in seconds: 25 times the usual
+answer time, and twice the round trip to another region."""
 
-START_COPIES = 3
-"""Copies of a start that are sent until one is answered: where a fifth of them is lost,
-one start in 125 is left to be settled by stopping it."""
+START_ATTEMPTS = 3
+"""Attempts to send a start order until one is answered: where a fifth of them is lost,
+one start in 125 stays unanswered and is resolved by stopping the run."""
 
-LOSSY_START_COPIES = 4
-"""The same while answers get lost: the last one is waited for as long as ever."""
+LOSSY_START_ATTEMPTS = 4
+"""The same while answers are lost; only the last attempt gets the full timeout."""
 
-LOSSY_LOOKS = 3
-"""Lists that are asked for while answers get lost, after one that did not come, before
-a target counts as silent: where three in ten are lost, all four are in one of 120."""
+LOSSY_LIST_RETRIES = 3
+"""Retries of a lost list, while answers are lost, before a target counts as silent:
+where three in ten lists are lost, all four are lost in one case of 120."""
 
-SECOND_LOOK_S = 0.1
-"""Longest wait for the second list, after one that did not come, in seconds: thirty
-times the usual one."""
+LIST_RETRY_TIMEOUT_S = 0.1
+"""Timeout of the last retry of a lost list, in seconds: thirty times its usual time."""
 
-FIRST_COPIES_AT_S = (0.0, 0.05, 0.08, 0.11)
-"""When requests for the first list of a target go out until one is answered, in
-seconds. A leader that opens 24 links at once reads the answers after 20 to 45 ms, so
-the second waits for that; the last is answered before jobs are given up for want of a
-list. Where a fifth of the lists is lost, one target in 600 is left without."""
+FIRST_LIST_SEND_TIMES_S = (0.0, 0.05, 0.08, 0.11)
+"""When the requests for the first list of a target are sent until one is answered, in
+seconds after the link was opened. A leader that opens 24 links at once reads the
+answers after 20 to 45 ms, so the second request waits for that. The last one is
+answered before jobs are given up for lack of a list. Where a fifth of the lists is
+lost, one target in 600 stays without one."""
 
 
-def list_period_s(wished_s: float, *, targets: int) -> float:
-    """Return the period of lists from each target, in seconds.
+def list_period_s(preferred_s: float, *, targets: int) -> float:
+    """Return the period at which to request lists from each target, in seconds.
 
-    :param wished_s: what one target by itself would be asked at, in seconds.
-    :param targets: how many the leader holds.
+    :param preferred_s: the period for a single target, in seconds.
+    :param targets: number of targets that the leader has links to.
     """
-    return min(max(wished_s, targets / MOST_LISTS_PER_S), RENEW_EVERY_S)
+    return min(max(preferred_s, targets / MAX_LISTS_PER_S), RENEW_PERIOD_S)
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -1,44 +1,52 @@
-"""One term of a member's leadership: its row, and signs of a later leader."""
+"""Maintains one term of a member's leadership.
+
+It renews the leader's row, detects a later leader, and raises the token where targets
+obey one that no reachable leader holds.
+"""
 
 import asyncio
 from typing import Protocol
 
 from cassiaturn.fleet._follow import look_at
 from cassiaturn.fleet._leader import Leader
-from cassiaturn.fleet._leader_row import RENEW_ROW_S, LeaderRow
+from cassiaturn.fleet._leader_row import ROW_RENEW_PERIOD_S, LeaderRow
 from cassiaturn.fleet._leadership import Leadership, Look
 from cassiaturn.fleet._neighbours import Neighbours, to_address
 from cassiaturn.fleet._service import FleetService
 from cassiaturn.fleet._superseded_signal import SupersededSignal
 from cassiaturn.observability import Event, log_event
 
-CUT_SETTLE_S = 0.3
-"""How long a leader waits for further silent followers before it concludes on which
-side of a cut most of them are, in seconds: two heartbeats."""
+PARTITION_SETTLE_S = 0.3
+"""Time in which a leader collects silent followers before it decides on which side of
+a network partition most of them are, in seconds: two heartbeats."""
 
-SUPERSEDED_CHECKS = 1
-"""Looks without a later leader after which a leader raises its token: a successor
-whose claim is on its way is seen by the second one."""
+CHECKS_BEFORE_RAISE = 1
+"""Checks without a later leader after which a leader raises its token: a successor
+whose claim is in flight is seen by the second one."""
 
 
 class TermMember(Protocol):
-    """What a term needs of the member that leads."""
+    """The leading member, as its term uses it."""
 
     known: Leadership | None
     """The latest leadership that it knows of."""
 
     service: FleetService
-    """Serves those that follow it."""
+    """Serves the members that follow it."""
 
     def next_leadership(self, *, reach: int, terms: int = 1) -> Leadership:
-        """Return the leadership that the member would claim now."""
+        """Return the leadership that the member would claim now.
+
+        :param reach: number of members that it reaches.
+        :param terms: by how many terms to advance.
+        """
 
     def hear_of(self, leadership: Leadership) -> None:
-        """Take in that a member leads that can be reached."""
+        """Record the leadership of a member that can be reached."""
 
 
 class LeaderTerm:
-    """Keeps the leader's row, and ends when another member leads."""
+    """Renews the leader's row, and ends when another member leads."""
 
     def __init__(
         self,
@@ -49,9 +57,9 @@
         neighbours: Neighbours,
         superseded_signal: SupersededSignal,
     ) -> None:
-        """Prepare a term that has been claimed; :meth:`run` keeps it.
+        """Prepare a claimed term; :meth:`run` maintains it.
 
-        :param superseded_signal: signs that a later leader may be there.
+        :param superseded_signal: hints that a later leader may exist.
         """
         self._leader = leader
         self._member = member
@@ -61,12 +69,15 @@
         self._silent_members = 0
 
     def note_silent_member(self) -> None:
-        """Take in that a follower does not answer."""
+        """Record that a follower does not answer."""
         self._silent_members += 1
         self._superseded_signal.signal()
 
     async def run(self) -> Leadership:
-        """Keep the term until another member leads; returns its leadership."""
+        """Maintain the term until another member leads.
+
+        :returns: the leadership of that member.
+        """
         announcing = asyncio.ensure_future(self._announce(self._leader.leadership))
         try:
             return await self._renew_until_superseded()
@@ -74,7 +85,10 @@
             announcing.cancel()
 
     async def _renew_until_superseded(self) -> Leadership:
-        """Write the row until another member leads; returns its leadership."""
+        """Renew the row until another member leads.
+
+        :returns: the leadership of that member.
+        """
         checks = 0
         while True:
             leadership = self._leader.leadership
@@ -82,29 +96,33 @@
             if known is not None and known.token > leadership.token:
                 return known
             holder = await self._row.renew(leadership)
-            # A later leader that cannot be reached is on the far side of a cut: its
-            # side is served by it, and this side by this member.
+            # A later leader that cannot be reached is on the other side of a network
+            # partition. It serves that side, and this member goes on to serve this one.
             is_later = holder is not None and holder.token > leadership.token
             if holder is not None and is_later and await self._is_reachable(holder):
                 return holder
-            stands = holder in (leadership, None) and bool(self._leader.superseded_ids)
-            checks = checks + 1 if stands else 0
-            if checks > SUPERSEDED_CHECKS:
+            is_blocked = holder in (leadership, None) and bool(
+                self._leader.superseded_ids
+            )
+            checks = checks + 1 if is_blocked else 0
+            if checks > CHECKS_BEFORE_RAISE:
                 await self._raise_token(terms=1 << (checks - 2))
-            elif stands and await self._announce(leadership):
-                # The row is written twice a second only, and callers of this side
-                # wait for targets that obey somebody else.
+            elif is_blocked and await self._announce(leadership):
+                # Check again at once: the row is written only twice a second, and
+                # callers wait for targets that obey another leader.
                 continue
             if self._silent_members:
-                await self._outrank_far_side()
-            await self._superseded_signal.wait(RENEW_ROW_S)
+                await self._outrank_partition()
+            await self._superseded_signal.wait(ROW_RENEW_PERIOD_S)
 
     async def _raise_token(self, terms: int) -> None:
-        """Overtake a token that targets obey and nobody leads by.
+        """Claim a higher token than the one that targets obey and no leader holds.
+
+        A leader that claimed without the table service may have ended before it could
+        write the row. Targets would then refuse every order of the next leader forever,
+        and no job would run.
 
-        A leader that claimed without the table service may have ended before it
-        could write the row. Targets then refuse every order of the next leader, for
-        ever, and callers get nothing.
+        :param terms: by how many terms to advance.
         """
         reach = len(self._member.service.followers)
         claim = self._member.next_leadership(reach=reach, terms=terms)
@@ -112,30 +130,34 @@
         if holder is not None and holder != claim:
             return
         if holder is None and await self._announce(claim):
-            # Somebody leads by a higher token; it was heard of just now.
+            # A member leads with a higher token, as the announcement has just shown.
             return
-        self._go_on_as(claim)
+        self._continue_as(claim)
 
-    async def _outrank_far_side(self) -> None:
-        """Raise the token if followers fell silent and most are still heard.
+    async def _outrank_partition(self) -> None:
+        """Raise the token if some followers are silent but most still answer.
 
-        Behind a cut they claim the next term. When it heals their leader would take
-        every target away from this one, whose callers are more.
+        Followers behind a network partition claim the next term. When the partition
+        heals, their leader would take every target away from this one, although this
+        one serves more callers.
         """
-        await asyncio.sleep(CUT_SETTLE_S)
-        lost, self._silent_members = self._silent_members, 0
-        left = len(self._member.service.followers)
-        if left > lost:
-            self._go_on_as(self._member.next_leadership(reach=left))
+        await asyncio.sleep(PARTITION_SETTLE_S)
+        silent, self._silent_members = self._silent_members, 0
+        remaining = len(self._member.service.followers)
+        if remaining > silent:
+            self._continue_as(self._member.next_leadership(reach=remaining))
 
-    def _go_on_as(self, claim: Leadership) -> None:
+    def _continue_as(self, claim: Leadership) -> None:
         self._member.known = claim
         self._leader.raise_token(claim)
         self._member.service.send_leadership(claim)
         log_event(Event.LEADER_ELECTED, token=claim.token, term=claim.term, raised=True)
 
     async def _announce(self, leadership: Leadership) -> bool:
-        """Tell every member that is known; returns whether one knows a later leader."""
+        """Announce a leadership to every known member.
+
+        :returns: whether one of them knows a later leader.
+        """
         looks = await self._neighbours.announce(leadership)
         later = [look.highest for look in looks if look.highest is not None]
         later = [known for known in later if known.token > leadership.token]
--- a/src/cassiaturn/fleet/_watch.py
+++ b/src/cassiaturn/fleet/_watch.py
@@ -1,4 +1,4 @@
-"""Follows a list of the platform: all of it once, then its changes."""
+"""Mirrors a platform list: reads a snapshot once, then polls for changes."""
 
 import asyncio
 import random
@@ -18,15 +18,15 @@
 from cassiaturn.services import Misused, ReadError, Throttled, Unavailable
 
 FIRST_PAUSE_S = 0.1
-"""Pause after a failed call, in seconds; it doubles while calls fail."""
+"""Pause after the first failed call, in seconds; it doubles with each further one."""
 
-LONGEST_PAUSE_S = 0.8
-"""Longest such pause, in seconds: a change must be in force 2 s after it was made,
-also right after an outage."""
+MAX_PAUSE_S = 0.8
+"""Longest such pause, in seconds: a change must take effect within 2 s, also right
+after an outage of the store."""
 
 
 class Watch(Generic[EntryT]):
-    """Keeps a copy of a list up to date."""
+    """Keeps the owner of a copy of a list informed of its entries."""
 
     def __init__(
         self,
@@ -38,13 +38,14 @@
         wait_s: float,
         pause_s: float = 0.0,
     ) -> None:
-        """Prepare to follow a list; :meth:`run` does.
+        """Prepare the watch; :meth:`run` starts it.
 
-        :param name: what the list is, for the log.
-        :param on_snapshot: takes all entries; those that are missing are gone.
-        :param on_change: takes one changed entry; None: it was removed.
+        :param name: name of the list in log lines.
+        :param source: the list.
+        :param on_snapshot: receives all entries; entries missing from it are gone.
+        :param on_change: receives one changed entry, or None if it was removed.
         :param wait_s: longest wait for a change in one call, in seconds.
-        :param pause_s: least pause between two calls, in seconds.
+        :param pause_s: minimum pause between two calls, in seconds.
         """
         self._name = name
         self._source = source
@@ -55,19 +56,19 @@
         self._reachable = True
 
     async def run(self) -> None:
-        """Follow the list until cancelled."""
+        """Watch the list until cancelled."""
         failures = 0
         version: int | None = None
         while True:
-            result = await self._step(version)
+            result = await self._poll(version)
             if isinstance(result, int):
                 version = result
                 failures = 0
                 self._note_reachable()
                 await asyncio.sleep(self._pause_s)
                 continue
-            # What was missed is only in a new snapshot: after a lost answer or a
-            # compaction the changes since the last version may be incomplete.
+            # Start again from a snapshot: after a lost answer or a compaction, the
+            # changes since the last version may be incomplete.
             version = None
             if isinstance(result, HistoryLost):
                 continue
@@ -75,7 +76,7 @@
             self._note_unreachable(result)
             await asyncio.sleep(_pause_s(failures, result))
 
-    async def _step(self, version: int | None) -> int | ReadError | HistoryLost:
+    async def _poll(self, version: int | None) -> int | ReadError | HistoryLost:
         if version is None:
             return await self._take_snapshot()
         match await self._source.changes(version, self._wait_s):
@@ -108,8 +109,8 @@
 
 
 def _pause_s(failures: int, error: ReadError) -> float:
-    pause_s = min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2.0 ** min(failures - 1, 10))
+    pause_s = min(MAX_PAUSE_S, FIRST_PAUSE_S * 2.0 ** min(failures - 1, 10))
     if isinstance(error, Throttled):
-        pause_s = max(pause_s, min(error.retry_after_s, LONGEST_PAUSE_S))
-    # Members that lost the service in one moment would call in one moment.
+        pause_s = max(pause_s, min(error.retry_after_s, MAX_PAUSE_S))
+    # Jitter: members that lost the service at the same time would retry together.
     return pause_s * random.uniform(0.5, 1.0)
--- a/src/cassiaturn/fleet/tests/test_leader_load.py
+++ b/src/cassiaturn/fleet/tests/test_leader_load.py
@@ -1,17 +1,17 @@
-"""What the log and the metrics tell of a leader whose link or processor is full."""
+"""Tests the log line and metrics that show a leader's saturated link or processor."""
 
 import io
 import time
 
-from cassiaturn.fleet._leader_load import LINE_EVERY_S, LeaderLoad
+from cassiaturn.fleet._leader_load import LOG_PERIOD_S, LeaderLoad
 from cassiaturn.observability import FleetMetrics, configure_logging
 
 
-def test_a_full_link_can_be_told_from_a_full_processor() -> None:
-    """Targets seem silent while lists fill the leader's link.
+def test_log_line_tells_full_link_from_full_processor() -> None:
+    """Targets seem silent because lists fill the leader's link.
 
-    On call, one line has to say that lists were sent, that answers waited behind them,
-    that targets left requests unanswered, and that the processor was not to blame.
+    One log line must show that lists were sent, that answers were queued behind them,
+    that targets left requests unanswered, and that the event loop was not delayed.
     """
     stream = io.StringIO()
     log = configure_logging(stream=stream)
@@ -21,7 +21,7 @@
     load.count_request("start", None)
     load.count_request("start", 0.004)
     load.observe_loop_delay(0.002)
-    load._period.began_at = time.monotonic() - LINE_EVERY_S
+    load._period.began_at = time.monotonic() - LOG_PERIOD_S
     load.log_if_due(followers=1, waiting=31, called_bytes=5_000)
     load.log_if_due(followers=1, waiting=31, called_bytes=5_000)
     log.close()
@@ -40,8 +40,11 @@
         assert pair in line
 
 
-def test_the_first_line_of_a_term_tells_of_that_term_only() -> None:
-    """A member leads a second time, long after its first term."""
+def test_first_log_line_of_a_term_leaves_out_earlier_terms() -> None:
+    """A member leads again, long after its first term.
+
+    Counts of the first term must not appear in the first line of the second.
+    """
     stream = io.StringIO()
     log = configure_logging(stream=stream)
     load = LeaderLoad(metrics=FleetMetrics(member_name="m", failure_domain="a"))
@@ -49,7 +52,7 @@
     load._period.began_at = time.monotonic() - 50.0
     load.begin_term(called_bytes=5_000)
     load.log_if_due(followers=1, waiting=0, called_bytes=5_100)
-    load._period.began_at -= LINE_EVERY_S
+    load._period.began_at -= LOG_PERIOD_S
     load.log_if_due(followers=1, waiting=0, called_bytes=5_200)
     log.close()
     (line,) = stream.getvalue().splitlines()
@@ -57,7 +60,7 @@
     assert "requests=0" in line
 
 
-def test_the_metrics_tell_kinds_and_followers_apart() -> None:
+def test_metrics_are_labelled_by_kind_and_follower() -> None:
     metrics = FleetMetrics(member_name="m", failure_domain="a")
     load = LeaderLoad(metrics=metrics)
     load.count_frame("roster", "front-1/5c0e", 20_000, 0.7)
--- a/src/cassiaturn/fleet/tests/test_leader_row.py
+++ b/src/cassiaturn/fleet/tests/test_leader_row.py
@@ -1,4 +1,4 @@
-"""What a member concludes from the leader's row."""
+"""Tests what a member concludes from the leader's row."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,15 +14,15 @@
 LEADER = Leadership(token=10, term=1, member_id="old", address="10.0.0.1:1")
 
 LONGEST_WITHOUT_LEADER_S = 2.2
-"""From the loss of all other members to a claim by the last one: callers wait 1.5 s
-at most, so this loses one wave of them and little more."""
+"""Bound on the time from the loss of all other members to a claim by the last one, in
+seconds: callers wait 1.5 s at most, so little more than one wave of them fails."""
 
 STREAM_SILENCE_S = 0.8
-"""When a follower notices that its leader is silent."""
+"""Time after which a follower notices that its leader is silent, in seconds."""
 
 
 class Clock:
-    """Time that a test moves."""
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 50.0
@@ -31,8 +31,8 @@
         return self.now
 
 
-class OneRow:
-    """A table service that holds the leader's row only."""
+class LeaderRowTable:
+    """A fake table service that holds only the leader's row."""
 
     def __init__(self) -> None:
         self.renewal = 0
@@ -46,23 +46,23 @@
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> Clock:
-    moved = Clock()
-    monkeypatch.setattr(_leader_row, "time", moved)
-    return moved
+    fake_clock = Clock()
+    monkeypatch.setattr(_leader_row, "time", fake_clock)
+    return fake_clock
 
 
 def _read(row: LeaderRow) -> RowView:
     return asyncio.run(row.read())
 
 
-def test_the_last_member_knows_soon_that_the_leader_is_dead(clock: Clock) -> None:
-    """Every other member loses power at once, the leader among them.
+def test_last_member_soon_detects_a_dead_leader(clock: Clock) -> None:
+    """All other members, including the leader, lose power at the same time.
 
-    The last one hears nobody, which its own cut would look like too. Only the row
-    tells: it is not written any more. Until the last member concludes so its callers
-    are refused, though every target is idle.
+    To the last member this looks like its own isolation by a network partition. Only
+    the row tells the difference, because nothing writes it any more. Until the member
+    concludes so, it refuses its callers although every target is idle.
     """
-    table = OneRow()
+    table = LeaderRowTable()
     row = LeaderRow(table=table)  # type: ignore[arg-type]
     lost_at = clock.now
     clock.now += STREAM_SILENCE_S
@@ -72,16 +72,16 @@
         assert clock.now - lost_at < LONGEST_WITHOUT_LEADER_S
 
 
-def test_a_leader_that_writes_slowly_is_not_dead(clock: Clock) -> None:
-    """The table service takes 0.24 s a write, and this member is cut off.
+def test_a_leader_with_slow_writes_is_not_dead(clock: Clock) -> None:
+    """The table service takes 0.24 s per write, and this member is isolated.
 
-    A member that took the row for dead would take the targets away from a leader
-    that everybody else hears.
+    If it took the row for stale, it would take the targets away from a leader that all
+    other members still hear.
     """
-    table = OneRow()
+    table = LeaderRowTable()
     row = LeaderRow(table=table)  # type: ignore[arg-type]
     for _ in range(20):
         table.renewal += 1
         assert _read(row).state is not RowState.STALE
-        clock.now += _leader_row.RENEW_ROW_S + 0.24
+        clock.now += _leader_row.ROW_RENEW_PERIOD_S + 0.24
         assert _read(row).state is not RowState.STALE
--- a/src/cassiaturn/fleet/tests/test_leadership.py
+++ b/src/cassiaturn/fleet/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who leads next, for every mix of what a member without a leader may know."""
+"""Tests the election rules for each combination of what a member may know."""
 
 from collections.abc import Mapping
 
@@ -80,10 +80,12 @@
         {"looks": (MISSES, MISSES), "members_before": 1},
         Step.WAIT,
     ),
+    # Silent for all members; the member that precedes this one has not claimed.
     "and that one has had its time": (
         {"looks": (MISSES, MISSES), "members_before": 1, "tries": 1},
         Step.CLAIM,
     ),
+    # As above, but two members precede this one.
     "and two come first": (
         {"looks": (MISSES, MISSES), "members_before": 2, "tries": 1},
         Step.WAIT,
@@ -92,6 +94,7 @@
         {"looks": (MISSES,), "wider_is_silent": True},
         Step.WAIT,
     ),
+    # As above, in the second round of questions.
     "and that one is silent still": (
         {"looks": (MISSES,), "wider_is_silent": True, "tries": 1},
         Step.CLAIM_ALONE,
@@ -104,6 +107,7 @@
         {"looks": (MISSES,), "knows_targets": False},
         Step.CLAIM,
     ),
+    # As above, without the table service either.
     "nor does the table service tell any": (
         {"looks": (MISSES,), "knows_targets": False, "row": RowState.UNREADABLE},
         Step.WAIT,
@@ -127,6 +131,7 @@
     ),
     "this member is cut off, nothing known yet": ({}, Step.WAIT),
     "the last member that is left": ({"row": RowState.STALE}, Step.CLAIM),
+    # An island is one side of a network partition.
     "an island with the table service": (
         {"row": RowState.RENEWED, "looks": (MISSES,)},
         Step.CLAIM_ALONE,
@@ -163,12 +168,12 @@
     assert next_step(_election_view(**changes)) is step
 
 
-def test_tokens_rise_with_each_term() -> None:
+def test_tokens_increase_with_each_term() -> None:
     first = next_leadership(None, member_id="a", address="x:1", reach=0)
     second = next_leadership(first, member_id="b", address="y:1", reach=0)
     assert 0 < first.token < second.token
     assert (first.term, second.term) == (0, 1)
-    assert second.token < 1 << 53  # exact in JSON numbers of every reader
+    assert second.token < 1 << 53  # exact as a double, hence in any JSON parser
 
 
 def test_two_claims_of_one_term_have_different_tokens() -> None:
@@ -179,23 +184,26 @@
     assert len(tokens) > 45
 
 
-def test_the_latest_leadership_wins_wherever_it_was_heard() -> None:
+def test_latest_leadership_wins_whatever_its_source() -> None:
     looks = (Look(hears_leader=False, highest=NEW), MISSES)
     assert latest(_election_view(looks=looks)) == NEW
     assert latest(_election_view(row_leadership=NEW)) == NEW
 
 
 @pytest.mark.parametrize("value", ["", "{}", "[1]", '{"token":"x"}', "null", "\0"])
-def test_a_malformed_row_names_nobody(value: str) -> None:
+def test_malformed_row_yields_no_leadership(value: str) -> None:
     assert Leadership.from_value(value) is None
 
 
-def test_a_row_names_who_wrote_it() -> None:
+def test_row_value_round_trips() -> None:
     assert Leadership.from_value(OLD.to_value(3)) == OLD
 
 
-def test_of_two_sides_of_a_cut_the_larger_one_leads_after_it() -> None:
-    """Both sides claim the same term, and targets obey the higher token at the heal."""
+def test_larger_side_of_a_partition_leads_after_it_heals() -> None:
+    """Both sides claim the same term, and targets obey the higher token after it heals.
+
+    If that were the smaller side's, the targets would leave the leader of most callers.
+    """
     for _ in range(50):
         small = next_leadership(OLD, member_id="a", address="x:1", reach=2)
         large = next_leadership(OLD, member_id="b", address="y:1", reach=5)
@@ -203,7 +211,7 @@
         assert small.token < large.token
 
 
-def test_a_claim_outranks_an_earlier_term_of_any_reach() -> None:
+def test_claim_outranks_an_earlier_term_of_any_reach() -> None:
     wide = next_leadership(None, member_id="a", address="x:1", reach=9_999)
     alone = next_leadership(wide, member_id="b", address="y:1", reach=0)
     assert wide.token < alone.token
--- a/src/cassiaturn/fleet/tests/test_target_link.py
+++ b/src/cassiaturn/fleet/tests/test_target_link.py
@@ -1,4 +1,4 @@
-"""When a target that leaves requests unanswered counts as silent."""
+"""Tests how a target link deals with lost answers and silent targets."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 
 from cassiaturn.entities import EndedRun, LeaseReport, RunEnd, StartAnswer, TaskRef
 from cassiaturn.fleet._answer_loss import (
-    SHORTEST_WAIT_S,
+    MIN_TIMEOUT_S,
     AnswerLossMonitor,
     AnswerTimeEstimate,
 )
@@ -16,11 +16,11 @@
 from cassiaturn.fleet._ports import Authority, CallProblem, NoAnswer, StartReply
 from cassiaturn.fleet._target_link import TargetLink
 from cassiaturn.fleet._target_timing import (
-    LOOK_EVERY_S,
-    LOSSY_LOOK_EVERY_S,
-    MOST_LISTS_PER_S,
+    LOSSY_RENEW_PERIOD_S,
+    MAX_LISTS_PER_S,
     ORDER_TIMEOUT_S,
-    RENEW_EVERY_S,
+    RENEW_PERIOD_S,
+    TIGHT_RENEW_PERIOD_S,
     list_period_s,
 )
 from cassiaturn.observability import FleetMetrics
@@ -30,7 +30,7 @@
 
 
 class Calls:
-    """A target whose lists come or not, as a test says; starts are answered."""
+    """A fake target: ``answers`` tells which lists arrive, starts get given answers."""
 
     def __init__(
         self, answers: list[bool], start_answers: tuple[StartAnswer, ...] = ()
@@ -72,7 +72,7 @@
 
 
 class Events:
-    """Counts what a link tells."""
+    """Records the events of a link."""
 
     def __init__(self) -> None:
         self.reports = 0
@@ -94,7 +94,7 @@
         self.superseded += 1
 
     def on_lost(self, target_id: str, reason: str) -> None:
-        """Nothing to count."""
+        """Ignore the event."""
 
     def on_start_answer(
         self,
@@ -110,18 +110,19 @@
 @pytest.mark.parametrize(
     ("answers", "silent"),
     [
-        ([True], 0),  # every list comes
+        ([True], 0),  # every list arrives
         ([False, True], 0),  # one is lost
-        ([False, False, True], 1),  # two in a row
+        ([False, False, True], 1),  # two in a row are lost
     ],
 )
-async def test_one_lost_list_does_not_silence_a_target(
+async def test_one_lost_list_does_not_make_a_target_silent(
     answers: list[bool], silent: int
 ) -> None:
-    """A third of all answers is lost, while targets work on.
+    """A third of all answers is lost although targets are working.
 
-    Silent at the first loss, nearly every target gets no starts at any time, and
-    callers wait for their limit beside idle workers. Two in a row are a cut.
+    If one loss made a target count as silent, nearly every target would get no starts
+    at any time, and callers would wait for their deadlines while workers are idle. Two
+    losses in a row count as a network partition.
     """
     calls = Calls(answers)
     events = Events()
@@ -140,113 +141,118 @@
         ([False], 1, 0.4),
     ],
 )
-async def test_the_first_list_is_asked_for_again_at_once(
+async def test_lost_first_list_is_requested_again_quickly(
     answers: list[bool], silent: int, within_s: float
 ) -> None:
     """A leader falls silent while a third of all answers is lost.
 
-    The next one has the callers' jobs, and may start none before every target has told
-    what it runs. One lost list used to be waited for until the callers were given up.
+    Its successor gets the callers' jobs, but may start none before every target has
+    reported its runs. With a single request, waiting for one lost list took so long
+    that the jobs were given up.
     """
     calls = Calls(answers)
     events = Events()
     link = _link(calls, events)
     began_at = time.monotonic()
-    await link._survey()
+    await link._fetch_first_list()
     assert time.monotonic() - began_at < within_s
     assert events.reports == (not silent)
     assert events.silent == silent
     link.close()
 
 
-async def test_a_target_that_answers_meanwhile_is_not_silent() -> None:
-    """A list is lost, and a start that was sent after it is answered."""
+async def test_target_with_another_answer_meanwhile_is_not_silent() -> None:
+    """A list is lost, and an order sent after its request is answered."""
     calls = Calls([False])
     events = Events()
     link = _link(calls, events)
     renewing = asyncio.ensure_future(link._renew())
     await asyncio.sleep(0.02)
-    link._note_clock(7_000)
+    link._record_clock(7_000)
     await renewing
     assert events.silent == 0
     assert calls.asked == 1
 
 
-LOST = StartAnswer.UNKNOWN
+UNANSWERED = StartAnswer.UNKNOWN
 
 
 @pytest.mark.parametrize(
-    ("answers", "told"),
+    ("answers", "expected"),
     [
         ((StartAnswer.STARTED,), StartAnswer.STARTED),
-        ((LOST, StartAnswer.STARTED), StartAnswer.STARTED),
-        ((LOST, LOST, StartAnswer.STARTED), StartAnswer.STARTED),
-        ((LOST, LOST, LOST), LOST),
+        ((UNANSWERED, StartAnswer.STARTED), StartAnswer.STARTED),
+        ((UNANSWERED, UNANSWERED, StartAnswer.STARTED), StartAnswer.STARTED),
+        ((UNANSWERED, UNANSWERED, UNANSWERED), UNANSWERED),
         ((StartAnswer.NO_ROOM,), StartAnswer.NO_ROOM),
         ((StartAnswer.OUTDATED,), StartAnswer.OUTDATED),
         ((StartAnswer.UNREACHABLE,), StartAnswer.UNREACHABLE),
-        # What a copy meets says nothing of the one before, which may have begun it.
-        ((LOST, StartAnswer.UNREACHABLE), LOST),
-        ((LOST, StartAnswer.NO_ROOM), LOST),
-        ((LOST, StartAnswer.UNHEALTHY), LOST),
-        ((LOST, StartAnswer.SUPERSEDED), LOST),
-        ((LOST, StartAnswer.LATE), LOST),
-        ((LOST, StartAnswer.OTHER_LIFE), StartAnswer.OTHER_LIFE),
-        # The first copy began it, its answer was lost, and it is over already.
-        ((LOST, StartAnswer.OUTDATED), StartAnswer.STARTED),
+        # A refusal says nothing of the earlier attempt, which may have started the run.
+        ((UNANSWERED, StartAnswer.UNREACHABLE), UNANSWERED),
+        ((UNANSWERED, StartAnswer.NO_ROOM), UNANSWERED),
+        ((UNANSWERED, StartAnswer.UNHEALTHY), UNANSWERED),
+        ((UNANSWERED, StartAnswer.SUPERSEDED), UNANSWERED),
+        ((UNANSWERED, StartAnswer.LATE), UNANSWERED),
+        ((UNANSWERED, StartAnswer.OTHER_LIFE), StartAnswer.OTHER_LIFE),
+        # The first attempt started it, its answer was lost, and the run has ended.
+        ((UNANSWERED, StartAnswer.OUTDATED), StartAnswer.STARTED),
     ],
 )
-async def test_a_start_without_an_answer_is_sent_again(
-    answers: tuple[StartAnswer, ...], told: StartAnswer
+async def test_unanswered_start_is_sent_again(
+    answers: tuple[StartAnswer, ...], expected: StartAnswer
 ) -> None:
     """A fifth of all orders gets no answer, and some of them are carried out.
 
-    Each holds its place and its caller until it is settled. A copy names the same run,
-    of which a target starts one only, so that sending it again settles most of them at
-    once; stopping it first and looking for it takes four times as long.
-    A cut may swallow the first answer and refuse the copy's connection: taken for a
-    start that never was, the task would be started elsewhere and run twice at once.
+    Each one blocks a slot and a caller until it is resolved. Starts are idempotent, so
+    sending them again resolves most of them at once; stopping the run and requesting a
+    list takes four times as long.
+    A network partition may drop the first answer and refuse the second connection. If
+    that counted as a start that never happened, the task would be started elsewhere and
+    run twice at the same time.
     """
     calls = Calls([True], answers)
     events = Events()
     link = _link(calls, events)
     await link._start(StartOrder(target_id="t", ref=REF, number=65, payload="x"))
-    assert events.start_answers == [told]
+    assert events.start_answers == [expected]
     assert calls.started == [65] * len(answers)
     assert events.superseded == (answers[-1] is StartAnswer.SUPERSEDED)
 
 
-async def test_ends_are_looked_for_sooner_where_answers_get_lost() -> None:
-    """The request that waits for the next end was lost, and nobody can tell.
+async def test_lists_are_requested_more_often_while_answers_are_lost() -> None:
+    """The long poll is lost, which only its timeout shows.
 
-    Until it times out, places that are free look taken; with periodic lists at a
-    third of a second, tasks of 60 ms use a fifth of their target.
+    Until then free slots look occupied: with periodic lists at a third of a second,
+    tasks of 60 ms use a fifth of their target.
     """
     calls = Calls([True, False, True])
     link = _link(calls, Events())
     for _ in range(3):
         await link._renew()
-    asked = calls.asked
-    link.tick(time.monotonic() + LOSSY_LOOK_EVERY_S)
+    requests_before = calls.asked
+    link.tick(time.monotonic() + LOSSY_RENEW_PERIOD_S)
     await asyncio.sleep(0.01)
-    assert calls.asked == asked + 1
+    assert calls.asked == requests_before + 1
 
 
-async def test_a_target_that_answers_nothing_says_nothing_of_the_others() -> None:
-    """A target is cut off. Asking all others more often would only cost time then."""
-    calls = Calls([False], (LOST, LOST, LOST))
+async def test_unreachable_target_does_not_count_as_lost_answers() -> None:
+    """A target is unreachable. Polling all others more often would only cost time."""
+    calls = Calls([False], (UNANSWERED, UNANSWERED, UNANSWERED))
     link = _link(calls, Events())
     await link._renew()
     await link._start(StartOrder(target_id="t", ref=REF, number=65, payload="x"))
     assert not link._answer_loss.is_lossy(time.monotonic())
 
 
-async def test_copies_of_a_start_follow_sooner_where_answers_get_lost() -> None:
-    """Three orders in twenty get no answer; a job of eight short tasks needs eight.
+async def test_starts_are_repeated_sooner_while_answers_are_lost() -> None:
+    """Three orders in twenty get no answer, and a job of eight tasks needs eight.
 
     With the timeout that a loaded host needs, three of four such jobs are late.
     """
-    calls = Calls([True], (LOST, StartAnswer.STARTED, LOST, LOST, StartAnswer.STARTED))
+    calls = Calls(
+        [True],
+        (UNANSWERED, StartAnswer.STARTED, UNANSWERED, UNANSWERED, StartAnswer.STARTED),
+    )
     link = _link(calls, Events())
     for _ in range(50):
         link._answer_time.observe(0.004)
@@ -263,15 +269,17 @@
     ("answers", "silent"),
     [([False, False, False, True], 0), ([False], 1)],
 )
-async def test_a_target_is_asked_more_often_where_answers_get_lost(
+async def test_lost_list_is_retried_more_often_while_answers_are_lost(
     answers: list[bool], silent: int
 ) -> None:
-    """Three lists in ten are lost. Silent after two of them, and paused after each, one
-    target in three gets nothing at any time, and callers wait beside idle workers.
+    """Three lists in ten are lost.
+
+    If two losses made a target count as silent, with a pause after each, one target in
+    three would get no starts at any time, and callers would wait for idle workers.
     """
     events = Events()
     link = _link(Calls(answers), events)
-    link._answer_loss.note(time.monotonic())
+    link._answer_loss.record_loss(time.monotonic())
     began_at = time.monotonic()
     await link._renew()
     assert events.silent == silent
@@ -282,22 +290,22 @@
 
 @pytest.mark.parametrize(
     ("answer_s", "timeout_s"),
-    [(0.001, SHORTEST_WAIT_S), (0.005, 0.02), (0.04, 0.08)],
+    [(0.001, MIN_TIMEOUT_S), (0.005, 0.02), (0.04, 0.08)],
 )
-def test_an_answer_is_waited_for_by_what_is_usual(
+def test_timeout_follows_the_mean_answer_time(
     answer_s: float, timeout_s: float
 ) -> None:
-    usual = AnswerTimeEstimate()
+    estimate = AnswerTimeEstimate()
     for _ in range(100):
-        usual.observe(answer_s)
-    assert usual.timeout_s(0.08) == pytest.approx(timeout_s, rel=0.01)
+        estimate.observe(answer_s)
+    assert estimate.timeout_s(0.08) == pytest.approx(timeout_s, rel=0.01)
 
 
-async def test_targets_that_answer_more_slowly_than_usual_are_not_silent() -> None:
-    """Answers get lost, and those that come take ten times as long from now on.
+async def test_suddenly_slower_targets_are_not_silent() -> None:
+    """Answers are lost, and those that arrive suddenly take twenty times as long.
 
-    By what was usual every target would fall silent at once, and callers get nothing
-    until answers count as sound again.
+    With timeouts derived from earlier answers, every target would count as silent at
+    once, and no jobs would complete until answers no longer count as lossy.
     """
     calls = Calls([True])
     calls.answer_s = 0.06
@@ -305,37 +313,37 @@
     link = _link(calls, events)
     for _ in range(100):
         link._answer_time.observe(0.003)
-    link._answer_loss.note(time.monotonic())
+    link._answer_loss.record_loss(time.monotonic())
     await link._renew()
     assert events.silent == 0
     assert events.reports == 1
     link.close()
 
 
-async def test_a_lost_request_for_ends_is_replaced_when_a_list_tells_of_one() -> None:
-    """The request that waits for the next end was lost; a periodic list tells of it.
+async def test_lost_long_poll_is_restarted_when_a_list_reports_an_ended_run() -> None:
+    """The long poll is lost, and a periodic list reports a run that has ended.
 
-    Left alone, it would hold up the news of every end for a second more.
+    If it were not restarted, ended runs would be reported late for another second.
     """
     calls = Calls([True])
     link = _link(calls, Events())
-    link._answer_loss.note(time.monotonic())
-    lost = asyncio.get_running_loop().create_future()
-    link._waiting = asyncio.ensure_future(asyncio.wait_for(lost, 5.0))
-    link._waiting_since = time.monotonic()
+    link._answer_loss.record_loss(time.monotonic())
+    lost_answer = asyncio.get_running_loop().create_future()
+    link._long_poll = asyncio.ensure_future(asyncio.wait_for(lost_answer, 5.0))
+    link._long_poll_sent_at = time.monotonic()
     await asyncio.sleep(0.002)
     calls.ended = (EndedRun(sequence=1, ref=REF, run=1, end=RunEnd.DONE),)
     await link._renew()
     await asyncio.sleep(0)
-    assert lost.cancelled()
+    assert lost_answer.cancelled()
 
 
-async def test_a_sound_target_is_not_looked_at_more_often() -> None:
+async def test_lists_are_not_requested_more_often_without_losses() -> None:
     calls = Calls([True])
     link = _link(calls, Events())
     for _ in range(3):
         await link._renew()
-    link.tick(time.monotonic() + LOSSY_LOOK_EVERY_S)
+    link.tick(time.monotonic() + LOSSY_RENEW_PERIOD_S)
     await asyncio.sleep(0.01)
     assert calls.asked == 3
 
@@ -355,20 +363,22 @@
     )
 
 
-@pytest.mark.parametrize("wished_s", [LOSSY_LOOK_EVERY_S, LOOK_EVERY_S, RENEW_EVERY_S])
+@pytest.mark.parametrize(
+    "preferred_s", [LOSSY_RENEW_PERIOD_S, TIGHT_RENEW_PERIOD_S, RENEW_PERIOD_S]
+)
 @pytest.mark.parametrize("targets", [1, 24, 75, 270, 450])
-def test_lists_of_all_targets_together_are_bounded(
-    wished_s: float, targets: int
+def test_rate_of_lists_from_all_targets_is_bounded(
+    preferred_s: float, targets: int
 ) -> None:
-    """Answers get lost, and each of hundreds of targets is asked twenty times a second.
+    """Answers are lost, and hundreds of targets are polled twenty times a second each.
 
-    The leader reads them late, so that more count as lost; it is asked for more lists,
-    and callers get nothing while no target is at fault.
+    The leader would read their lists late, count them as lost too and request more. No
+    jobs would complete, although no target has a fault.
     """
-    period_s = list_period_s(wished_s, targets=targets)
-    assert targets / period_s <= MOST_LISTS_PER_S * 1.001
-    assert wished_s <= period_s <= RENEW_EVERY_S
+    period_s = list_period_s(preferred_s, targets=targets)
+    assert targets / period_s <= MAX_LISTS_PER_S * 1.001
+    assert preferred_s <= period_s <= RENEW_PERIOD_S
 
 
-def test_a_few_targets_are_asked_as_often_as_one() -> None:
-    assert list_period_s(LOSSY_LOOK_EVERY_S, targets=24) == LOSSY_LOOK_EVERY_S
+def test_few_targets_are_polled_as_often_as_one() -> None:
+    assert list_period_s(LOSSY_RENEW_PERIOD_S, targets=24) == LOSSY_RENEW_PERIOD_S
