--- a/src/cassiaturn/fleet/__init__.py
+++ b/src/cassiaturn/fleet/__init__.py
@@ -1,6 +1,6 @@
 """Members that share one queue: each takes callers' jobs, one of them leads."""
 
-from cassiaturn.fleet._callers import CallerDesk, MemberDesk
+from cassiaturn.fleet._callers import CallerJobService, MemberJobService
 from cassiaturn.fleet._member import Member
 from cassiaturn.fleet._ports import (
     Authority,
@@ -24,14 +24,14 @@
     "Adapter",
     "Authority",
     "CallProblem",
-    "CallerDesk",
+    "CallerJobService",
     "CallerServer",
     "Changes",
     "EntryT",
     "Gone",
     "HistoryLost",
     "Member",
-    "MemberDesk",
+    "MemberJobService",
     "NoAnswer",
     "PlatformServices",
     "RoutingReader",
--- a/src/cassiaturn/fleet/_desk.py
+++ b/src/cassiaturn/fleet/_caller_jobs.py
@@ -98,7 +98,7 @@
         return longest_chain_s(groups, [group.expected_run_s for group in groups])
 
 
-class JobDesk:
+class CallerJobs:
     """Takes jobs from callers and keeps each with whoever leads."""
 
     def __init__(self, *, metrics: FleetMetrics) -> None:
--- a/src/cassiaturn/fleet/_callers.py
+++ b/src/cassiaturn/fleet/_callers.py
@@ -4,12 +4,12 @@
 from typing import Protocol
 
 from cassiaturn.entities import JobRequest, JobStatus, Route
-from cassiaturn.fleet._desk import RETRY_AFTER_S
+from cassiaturn.fleet._caller_jobs import RETRY_AFTER_S
 from cassiaturn.fleet._member import Member
 from cassiaturn.workload import Outcome
 
 
-class CallerDesk(Protocol):
+class CallerJobService(Protocol):
     """What the server of callers' requests asks of the product."""
 
     unconfigured_retry_s: float
@@ -57,7 +57,7 @@
         """Return the accepted jobs of a route of which no task has started."""
 
 
-class MemberDesk:
+class MemberJobService:
     """The desk of one member."""
 
     unconfigured_retry_s = RETRY_AFTER_S
@@ -94,20 +94,20 @@
         waited_s: float,
     ) -> Awaitable[Outcome]:
         """Take a job and return its final answer."""
-        desk = self._member.desk
-        return desk.submit(request, route, limit_s, waited_s=waited_s)
+        caller_jobs = self._member.caller_jobs
+        return caller_jobs.submit(request, route, limit_s, waited_s=waited_s)
 
     def status(self, job_id: str) -> JobStatus | None:
         """Return where a job stands; None: there is no such job.
 
         Jobs that need not be stored are known only where their caller waits.
         """
-        return JobStatus.RUNNING if self._member.desk.is_open(job_id) else None
+        return JobStatus.RUNNING if self._member.caller_jobs.is_open(job_id) else None
 
     def cancel(self, job_id: str) -> bool:
         """End a job at its caller's wish."""
-        return self._member.desk.cancel(job_id)
+        return self._member.caller_jobs.cancel(job_id)
 
     def waiting(self, route: Route) -> int:
         """Return the accepted jobs of a route of which no task has started."""
-        return self._member.desk.waiting_by_route.get(route.name, 0)
+        return self._member.caller_jobs.waiting_by_route.get(route.name, 0)
--- a/src/cassiaturn/fleet/_configuration.py
+++ b/src/cassiaturn/fleet/_configuration.py
@@ -4,7 +4,7 @@
 
 from cassiaturn.entities import RoutingTable
 from cassiaturn.fleet._ports import PlatformServices
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.fleet._watch import Watch
 from cassiaturn.observability import Event, log_event
 from cassiaturn.v1 import fleet_pb2 as pb
@@ -18,7 +18,7 @@
 class ConfigurationSource:
     """Offers every version that is heard of to the keeper of the one in force."""
 
-    def __init__(self, *, services: PlatformServices, routing: RoutingKeeper) -> None:
+    def __init__(self, *, services: PlatformServices, routing: CurrentRouting) -> None:
         """Prepare; :meth:`watch` follows the operators' row."""
         self._services = services
         self._routing = routing
--- a/src/cassiaturn/fleet/_follower.py
+++ b/src/cassiaturn/fleet/_follower.py
@@ -13,7 +13,7 @@
 from cassiaturn.v1 import fleet_pb2 as pb
 from cassiaturn.workload import Outcome
 
-BEAT_S = 0.15
+HEARTBEAT_S = 0.15
 """Period of heartbeats in both directions, in seconds: three of them fit into the
 time after which a leader counts as lost."""
 
@@ -88,7 +88,7 @@
 
         :param beat: returns the heartbeat.
         """
-        beat_at = time.monotonic() + BEAT_S
+        beat_at = time.monotonic() + HEARTBEAT_S
         while not self._frames:
             now = time.monotonic()
             listed = self._next_list(now)
--- a/src/cassiaturn/fleet/_held_targets.py
+++ b/src/cassiaturn/fleet/_held_targets.py
@@ -10,7 +10,7 @@
 from cassiaturn.fleet._leader_load import LeaderLoad
 from cassiaturn.fleet._losses import Losses
 from cassiaturn.fleet._ports import Authority, TargetCalls
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.fleet._target_link import TargetEvents, TargetLink
 from cassiaturn.observability import Event, SeldomLog, log_event
 from cassiaturn.workload import Ports, Run, StartOrder, Tables, WorkloadSettings
@@ -30,7 +30,7 @@
         tables: Tables,
         orders: TargetOrders,
         calls: TargetCalls,
-        routing: RoutingKeeper,
+        routing: CurrentRouting,
         load: LeaderLoad,
         settings: WorkloadSettings,
         token: int,
--- a/src/cassiaturn/fleet/_leader.py
+++ b/src/cassiaturn/fleet/_leader.py
@@ -13,13 +13,13 @@
     TargetReport,
     TaskRef,
 )
-from cassiaturn.fleet._desk import JobDesk, OpenJob
+from cassiaturn.fleet._caller_jobs import CallerJobs, OpenJob
 from cassiaturn.fleet._failures import report_failure
 from cassiaturn.fleet._held_targets import HeldTargets
 from cassiaturn.fleet._leader_load import LeaderLoad
 from cassiaturn.fleet._leadership import Leadership
 from cassiaturn.fleet._ports import PlatformServices
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.fleet._watch import Watch
 from cassiaturn.observability import Event, FleetMetrics, log_event
 from cassiaturn.sharing import Lateness, LoadShedder, SpareTime
@@ -75,8 +75,8 @@
         *,
         leadership: Leadership,
         services: PlatformServices,
-        routing: RoutingKeeper,
-        desk: JobDesk,
+        routing: CurrentRouting,
+        caller_jobs: CallerJobs,
         metrics: FleetMetrics,
         settings: WorkloadSettings,
         known_targets: Mapping[str, TargetReport],
@@ -100,7 +100,7 @@
         self.followers_by_id: dict[str, FollowerPort] = {}
         self._services = services
         self._routing = routing
-        self._desk = desk
+        self._caller_jobs = caller_jobs
         self._metrics = metrics
         self._on_superseded = on_superseded
         self._load = load
@@ -191,7 +191,7 @@
         self._tasks = [loop.create_task(watch.run()), loop.create_task(self._tick())]
         for task in self._tasks:
             task.add_done_callback(report_failure)
-        self._desk.attach(self)
+        self._caller_jobs.attach(self)
 
     def raise_token(self, leadership: Leadership) -> None:
         """Go on under a higher token; what runs and waits is still known.
@@ -204,7 +204,7 @@
     def close(self) -> None:
         """Give no more orders."""
         self._closed = True
-        self._desk.detach(self)
+        self._caller_jobs.detach(self)
         for task in self._tasks:
             task.cancel()
         self._targets.close()
@@ -400,7 +400,7 @@
         was_shedding = bool(self._shedder.share)
         behind_s = now - self._behind_since if self._behind_since else 0.0
         self._shedder.observe(late_s, now, behind_s=behind_s)
-        self._desk.shed_share = self._shedder.share
+        self._caller_jobs.shed_share = self._shedder.share
         if bool(self._shedder.share) is not was_shedding:
             log_event(
                 Event.LEADER_FULL,
@@ -436,7 +436,7 @@
 
     def _tell(self, member_id: str, job_id: str, outcome: Outcome) -> None:
         if member_id == self.leadership.member_id:
-            self._desk.settle(job_id, outcome)
+            self._caller_jobs.settle(job_id, outcome)
             return
         follower = self.followers_by_id.get(member_id)
         if follower is not None:
--- a/src/cassiaturn/fleet/_follow.py
+++ b/src/cassiaturn/fleet/_leader_stream.py
@@ -10,17 +10,17 @@
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
 from cassiaturn.entities import Address
+from cassiaturn.fleet._caller_jobs import CallerJobs, OpenJob
 from cassiaturn.fleet._codec import (
     from_leadership,
     from_submission,
     to_leadership,
     to_outcome,
 )
-from cassiaturn.fleet._desk import JobDesk, OpenJob
-from cassiaturn.fleet._follower import BEAT_S
+from cassiaturn.fleet._follower import HEARTBEAT_S
 from cassiaturn.fleet._leadership import Leadership, Look, NoLook
 from cassiaturn.fleet._roster import Roster
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.observability import Event, log_event
 from cassiaturn.transport import run_apart, sleep_awake
 from cassiaturn.v1 import fleet_pb2 as pb
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Followed:
+class FollowResult:
     """How following a leader ended."""
 
     end: FollowEnd
@@ -84,7 +84,7 @@
     """Whether it had taken this member on."""
 
 
-class Following:
+class LeaderStream:
     """One stream to one leader."""
 
     def __init__(
@@ -92,8 +92,8 @@
         *,
         leadership: Leadership,
         hello: pb.Hello,
-        desk: JobDesk,
-        routing: RoutingKeeper,
+        caller_jobs: CallerJobs,
+        routing: CurrentRouting,
         roster: Roster,
         read_routing: Callable[[pb.RoutingDocument], None],
         on_leadership: Callable[[Leadership], None],
@@ -110,7 +110,7 @@
         self.leaving = hello.leaving
         self.waits_for_confirmation = False
         self._hello = hello
-        self._desk = desk
+        self._caller_jobs = caller_jobs
         self._routing = routing
         self._roster = roster
         self._read_routing = read_routing
@@ -150,27 +150,27 @@
         message = pb.JobCancellation(job_id=job_id)
         self._frames.put_nowait(pb.FollowerFrame(cancel=message))
 
-    async def run(self) -> Followed:
+    async def run(self) -> FollowResult:
         """Follow until the stream ends, the leader is silent, or it says so."""
         host, _, port = self.leadership.address.rpartition(":")
         channel = Channel(host, int(port))
         try:
             return await run_apart(self._run(channel))
         except ConnectionRefusedError:
-            return Followed(end=FollowEnd.REFUSED, welcomed=self.welcomed)
+            return FollowResult(end=FollowEnd.REFUSED, welcomed=self.welcomed)
         except TimeoutError:
-            return Followed(end=FollowEnd.SILENT, welcomed=self.welcomed)
+            return FollowResult(end=FollowEnd.SILENT, welcomed=self.welcomed)
         except STREAM_ERRORS as error:
             log_event(
                 Event.PEER_LOST, member=self.leadership.member_id, detail=repr(error)
             )
-            return Followed(end=FollowEnd.BROKEN, welcomed=self.welcomed)
+            return FollowResult(end=FollowEnd.BROKEN, welcomed=self.welcomed)
         finally:
-            self._desk.detach(self, heard_at=self.heard_at)
+            self._caller_jobs.detach(self, heard_at=self.heard_at)
             self.welcomed = False
             channel.close()
 
-    async def _run(self, channel: Channel) -> Followed:
+    async def _run(self, channel: Channel) -> FollowResult:
         # Without a bound on the connect, a host that is cut off holds it for
         # minutes; the stream's own end is bounded by the silence below.
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -180,10 +180,10 @@
                 await stream.send_message(pb.FollowerFrame(hello=self._hello))
                 first = await stream.recv_message()
             if first is None:
-                return Followed(end=FollowEnd.BROKEN)
+                return FollowResult(end=FollowEnd.BROKEN)
             if not first.HasField("welcome"):
                 named = to_leadership(first.redirect)
-                return Followed(end=FollowEnd.REDIRECTED, named=named)
+                return FollowResult(end=FollowEnd.REDIRECTED, named=named)
             self._begin()
             try:
                 return await self._serve(stream)
@@ -200,9 +200,9 @@
             leader=self.leadership.member_id,
             token=self.leadership.token,
         )
-        self._desk.attach(self)
+        self._caller_jobs.attach(self)
 
-    async def _serve(self, stream) -> Followed:  # type: ignore[no-untyped-def]
+    async def _serve(self, stream) -> FollowResult:  # type: ignore[no-untyped-def]
         sending = asyncio.ensure_future(self._send(stream))
         receiving = asyncio.ensure_future(self._receive(stream))
         watching = asyncio.ensure_future(self._watch_silence())
@@ -214,7 +214,7 @@
                 ended = job.result()
                 if ended is not None:
                     return ended
-            return Followed(end=FollowEnd.BROKEN, welcomed=True)
+            return FollowResult(end=FollowEnd.BROKEN, welcomed=True)
         finally:
             for job in jobs:
                 job.cancel()
@@ -237,18 +237,20 @@
     async def _send(self, stream) -> None:  # type: ignore[no-untyped-def]
         while True:
             try:
-                async with asyncio.timeout(BEAT_S):
+                async with asyncio.timeout(HEARTBEAT_S):
                     frame = await self._frames.get()
             except TimeoutError:
                 frame = self._beat()
             await stream.send_message(frame)
 
-    async def _receive(self, stream) -> Followed | None:  # type: ignore[no-untyped-def]
+    async def _receive(self, stream) -> FollowResult | None:  # type: ignore[no-untyped-def]
         while (frame := await stream.recv_message()) is not None:
             self.heard_at = time.monotonic()
             match frame.WhichOneof("frame"):
                 case "outcome":
-                    self._desk.settle(frame.outcome.job_id, to_outcome(frame.outcome))
+                    self._caller_jobs.settle(
+                        frame.outcome.job_id, to_outcome(frame.outcome)
+                    )
                 case "taken_in":
                     self._confirm(frame.taken_in)
                 case "beat":
@@ -261,17 +263,17 @@
                     self._take_leadership(frame.welcome)
                 case "redirect":
                     named = to_leadership(frame.redirect)
-                    return Followed(
+                    return FollowResult(
                         end=FollowEnd.REDIRECTED, named=named, welcomed=True
                     )
                 case "hand_over":
-                    return Followed(end=FollowEnd.ASKED, welcomed=True)
+                    return FollowResult(end=FollowEnd.ASKED, welcomed=True)
                 case _:
                     continue
         return None
 
     def _confirm(self, message: pb.JobConfirmation) -> None:
-        if self._desk.confirm(message.job_id):
+        if self._caller_jobs.confirm(message.job_id):
             self._frames.put_nowait(pb.FollowerFrame(confirm=message))
 
     def _take_leadership(self, message: pb.Leadership) -> None:
@@ -281,8 +283,10 @@
             self._on_leadership(leadership)
 
     def _take_beat(self, beat: pb.LeaderBeat) -> None:
-        self._desk.waiting_by_route = {row.route: row.waiting for row in beat.queues}
-        self._desk.shed_share = beat.shed_share
+        self._caller_jobs.waiting_by_route = {
+            row.route: row.waiting for row in beat.queues
+        }
+        self._caller_jobs.shed_share = beat.shed_share
         self.waits_for_confirmation = beat.asks_first
         table = self._routing.current
         if table is None or table.version <= beat.routing_version:
@@ -294,21 +298,21 @@
         document = pb.RoutingDocument(version=table.version, document=table.document)
         self._frames.put_nowait(pb.FollowerFrame(routing=document))
 
-    async def _wait_for_successor(self) -> Followed:
+    async def _wait_for_successor(self) -> FollowResult:
         named = await asyncio.shield(self._successor)
-        return Followed(end=FollowEnd.REDIRECTED, named=named, welcomed=True)
+        return FollowResult(end=FollowEnd.REDIRECTED, named=named, welcomed=True)
 
-    async def _watch_silence(self) -> Followed:
+    async def _watch_silence(self) -> FollowResult:
         while True:
             silent_s = time.monotonic() - self.heard_at
             if silent_s >= LEADER_SILENCE_S:
-                return Followed(end=FollowEnd.SILENT, welcomed=True)
+                return FollowResult(end=FollowEnd.SILENT, welcomed=True)
             await sleep_awake(
                 LEADER_SILENCE_S - silent_s, most_grace_s=LEADER_SILENCE_S
             )
 
 
-async def look_at(
+async def ask_peer(
     address: Address,
     token: int,
     announced: Leadership | None = None,
--- a/src/cassiaturn/fleet/_member.py
+++ b/src/cassiaturn/fleet/_member.py
@@ -6,14 +6,9 @@
 from collections.abc import Mapping, Sequence
 
 from cassiaturn.entities import RoutingTable, TargetReport
+from cassiaturn.fleet._caller_jobs import CallerJobs
 from cassiaturn.fleet._configuration import ConfigurationSource
-from cassiaturn.fleet._desk import JobDesk
 from cassiaturn.fleet._failures import report_failure
-from cassiaturn.fleet._follow import (
-    Followed,
-    FollowEnd,
-    Following,
-)
 from cassiaturn.fleet._leader import Leader
 from cassiaturn.fleet._leader_load import LeaderLoad
 from cassiaturn.fleet._leader_row import (
@@ -21,6 +16,11 @@
     GLANCE_TIMEOUT_S,
     LeaderRow,
 )
+from cassiaturn.fleet._leader_stream import (
+    FollowEnd,
+    FollowResult,
+    LeaderStream,
+)
 from cassiaturn.fleet._leadership import (
     NO_TOKEN,
     Leadership,
@@ -32,10 +32,10 @@
     next_step,
 )
 from cassiaturn.fleet._member_metrics import observe
-from cassiaturn.fleet._neighbours import Neighbours
+from cassiaturn.fleet._peers import Peers
 from cassiaturn.fleet._ports import PlatformServices
 from cassiaturn.fleet._roster import Roster
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.fleet._service import FleetService
 from cassiaturn.fleet._suspicion import Suspicion
 from cassiaturn.fleet._term import LeaderTerm
@@ -45,7 +45,7 @@
 from cassiaturn.v1 import fleet_pb2 as pb
 from cassiaturn.workload import settings_for_lease
 
-WAIT_S = 0.12
+LOOK_PAUSE_S = 0.12
 """Pause before a member without a leader looks again, in seconds."""
 
 LOOKS_PER_TRY = 3
@@ -77,13 +77,13 @@
         # A new process under an old name is another member: what its predecessor
         # promised is not known to it.
         self.member_id = f"{settings.member_name}/{secrets.token_hex(4)}"
-        self.routing = RoutingKeeper()
+        self.routing = CurrentRouting()
         self.metrics = FleetMetrics(
             member_name=settings.member_name, failure_domain=settings.failure_domain
         )
-        self.desk = JobDesk(metrics=self.metrics)
+        self.caller_jobs = CallerJobs(metrics=self.metrics)
         self.leader: Leader | None = None
-        self.known: Leadership | None = None
+        self.known_leadership: Leadership | None = None
         self.load = LeaderLoad(metrics=self.metrics)
         self.service = FleetService(
             member=self,
@@ -97,8 +97,8 @@
         )
         self._row = LeaderRow(table=services.table)
         self._roster = Roster()
-        self._neighbours = Neighbours(settings=settings, roster=self._roster)
-        self._following: Following | None = None
+        self._peers = Peers(settings=settings, roster=self._roster)
+        self._following: LeaderStream | None = None
         self._suspicion = Suspicion()
         self._term: LeaderTerm | None = None
         self._resigned = asyncio.Event()
@@ -121,7 +121,7 @@
         return (
             not self._stopping
             and self.routing.current is not None
-            and self.desk.has_leader
+            and self.caller_jobs.has_leader
         )
 
     @property
@@ -152,7 +152,7 @@
         """Take in a configuration that another member handed on."""
         self._configuration.read(document)
 
-    def hear_of(self, leadership: Leadership) -> None:
+    def note_reachable_leader(self, leadership: Leadership) -> None:
         """Take in that a member leads that can be reached.
 
         Without this a leader that handed over while the table service is away goes
@@ -160,7 +160,7 @@
         """
         if leadership.token <= self._known_token():
             return
-        self.known = leadership
+        self.known_leadership = leadership
         self._news.set()
         if self.leader is not None:
             self._suspicion.signal()
@@ -169,7 +169,7 @@
 
     def note_joined(self, address: str) -> None:
         """Take in where a member that follows this one serves others."""
-        self._neighbours.note(address)
+        self._peers.note(address)
 
     def note_silent_member(self) -> None:
         """Take in that a follower does not answer."""
@@ -213,7 +213,7 @@
         loss = Loss.NEVER_KNOWN
         waits = 0
         while True:
-            if self._is_untried(self.known):
+            if self._is_untried(self.known_leadership):
                 loss = await self._follow_known()
                 waits = 0
                 if self._leaves_first_look_to_others(loss):
@@ -243,14 +243,14 @@
         Their word comes sooner than answers would, if all members asked at once.
         """
         is_lost = loss in (Loss.SILENT, Loss.GONE)
-        if not is_lost or self._is_untried(self.known):
+        if not is_lost or self._is_untried(self.known_leadership):
             return False
-        return not self._neighbours.claims_early
+        return not self._peers.claims_early
 
     async def _wait_for_news(self) -> None:
         # What was heard while this member looked around counts, too.
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(LOOK_PAUSE_S):
                 await self._news.wait()
         except TimeoutError:
             return
@@ -264,7 +264,7 @@
         )
 
     async def _follow_known(self) -> Loss:
-        known = self.known
+        known = self.known_leadership
         if known is None or known.member_id == self.member_id:
             return Loss.NEVER_KNOWN
         self._tried_token = known.token
@@ -280,11 +280,11 @@
         # longest wait for it on top of the one for members that are gone.
         view, around = await asyncio.gather(
             self._row.read(GLANCE_TIMEOUT_S if knows_targets else CALL_TIMEOUT_S),
-            self._neighbours.look(self.known),
+            self._peers.look(self.known_leadership),
         )
         situation = Situation(
             loss=loss,
-            known=self.known,
+            known=self.known_leadership,
             row=view.state,
             row_leadership=view.leadership,
             looks=around.looks,
@@ -298,7 +298,7 @@
         step = next_step(situation)
         newest = latest(situation)
         if step is Step.FOLLOW:
-            self.known = newest
+            self.known_leadership = newest
         log_event(
             Event.LEADER_LOST,
             loss=loss,
@@ -310,8 +310,8 @@
         )
         return step
 
-    async def _follow(self, leadership: Leadership) -> Followed:
-        following = Following(
+    async def _follow(self, leadership: Leadership) -> FollowResult:
+        following = LeaderStream(
             leadership=leadership,
             hello=pb.Hello(
                 member_id=self.member_id,
@@ -323,7 +323,7 @@
                 link_mbps=self.settings.link_mbps,
                 leaving=self._stopping,
             ),
-            desk=self.desk,
+            caller_jobs=self.caller_jobs,
             routing=self.routing,
             roster=self._roster,
             read_routing=self.read_routing,
@@ -331,7 +331,7 @@
         )
         self._following = following
         self._news.clear()
-        self._neighbours.led_by = leadership.address
+        self._peers.last_leader_address = leadership.address
         followed = await following.run()
         self._following = None
         if followed.welcomed:
@@ -346,13 +346,13 @@
 
     def _note_leadership(self, leadership: Leadership) -> None:
         """Take in that the leader that is followed has raised its token."""
-        self.known = leadership
+        self.known_leadership = leadership
         self._tried_token = leadership.token
 
-    def _loss_after(self, followed: Followed) -> Loss:
+    def _loss_after(self, followed: FollowResult) -> Loss:
         named = followed.named
         if named is not None and named.token > self._known_token():
-            self.known = named
+            self.known_leadership = named
             return Loss.GONE
         match followed.end:
             case FollowEnd.ASKED:
@@ -363,16 +363,16 @@
                 return Loss.GONE
 
     async def _claim(self, *, with_row: bool) -> bool:
-        claim = self.next_leadership(reach=self._neighbours.reach)
+        claim = self.next_leadership(reach=self._peers.reach)
         if with_row:
             holder = await self._row.claim(claim)
             if holder is None:
-                await asyncio.sleep(WAIT_S)
+                await asyncio.sleep(LOOK_PAUSE_S)
                 return False
             if holder != claim:
-                self.known = holder
+                self.known_leadership = holder
                 return False
-        self.known = claim
+        self.known_leadership = claim
         return True
 
     def next_leadership(self, *, reach: int, terms: int = 1) -> Leadership:
@@ -382,7 +382,7 @@
         :param terms: terms to go ahead by.
         """
         return next_leadership(
-            self.known,
+            self.known_leadership,
             member_id=self.member_id,
             address=str(self.settings.members),
             reach=reach,
@@ -390,7 +390,7 @@
         )
 
     async def _lead(self) -> None:
-        leadership = self.known
+        leadership = self.known_leadership
         if leadership is None:
             raise AssertionError("a claim sets the leadership")
         self._suspicion.settle()
@@ -398,7 +398,7 @@
             leadership=leadership,
             services=self._services,
             routing=self.routing,
-            desk=self.desk,
+            caller_jobs=self.caller_jobs,
             metrics=self.metrics,
             settings=settings_for_lease(self.settings.lease_ms / MILLISECONDS),
             known_targets=self._roster.targets_by_id,
@@ -424,7 +424,7 @@
             leader=leader,
             member=self,
             row=self._row,
-            neighbours=self._neighbours,
+            peers=self._peers,
             suspicion=self._suspicion,
         )
         self._step_down(await self._term.run())
@@ -471,7 +471,7 @@
         self._roster.replace_targets(leader.reports_by_id)
         leader.close()
         if successor is not None:
-            self.known = successor
+            self.known_leadership = successor
             if not self._stopping:
                 self._leftovers = asyncio.ensure_future(leader.stop_leftovers())
                 self._leftovers.add_done_callback(report_failure)
@@ -483,7 +483,11 @@
         )
 
     def _known_token(self) -> int:
-        return self.known.token if self.known is not None else NO_TOKEN
+        return (
+            self.known_leadership.token
+            if self.known_leadership is not None
+            else NO_TOKEN
+        )
 
     def _apply_routing(self, table: RoutingTable) -> None:
         if self.leader is not None:
--- a/src/cassiaturn/fleet/_member_metrics.py
+++ b/src/cassiaturn/fleet/_member_metrics.py
@@ -3,9 +3,9 @@
 from dataclasses import asdict
 from typing import Protocol
 
-from cassiaturn.fleet._desk import JobDesk
+from cassiaturn.fleet._caller_jobs import CallerJobs
 from cassiaturn.fleet._leader import Leader
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.observability import FleetMetrics
 
 
@@ -13,8 +13,8 @@
     """A member, as its metrics see it."""
 
     metrics: FleetMetrics
-    desk: JobDesk
-    routing: RoutingKeeper
+    caller_jobs: CallerJobs
+    routing: CurrentRouting
 
     @property
     def leader(self) -> Leader | None:
@@ -32,7 +32,7 @@
     metrics.observe_gauge(
         "cassiaturn.open_jobs",
         "Jobs without an answer.",
-        lambda: member.desk.open_jobs,
+        lambda: member.caller_jobs.open_jobs,
     )
     metrics.observe_gauge(
         "cassiaturn.leads", "1 on the leader.", lambda: float(member.leader is not None)
--- a/src/cassiaturn/fleet/_neighbours.py
+++ b/src/cassiaturn/fleet/_peers.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from cassiaturn.entities import Address
-from cassiaturn.fleet._follow import look_at
+from cassiaturn.fleet._leader_stream import ask_peer
 from cassiaturn.fleet._leadership import NO_TOKEN, Leadership, Look, NoLook
 from cassiaturn.fleet._roster import Roster
 from cassiaturn.settings import FleetSettings
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Around:
+class PeerSurvey:
     """What other members say of the leader."""
 
     looks: Sequence[Look]
@@ -74,7 +74,7 @@
     """Whether a member with a wider link than this one's gave no answer in time."""
 
 
-class Neighbours:
+class Peers:
     """The members that this one can ask or tell."""
 
     def __init__(self, *, settings: FleetSettings, roster: Roster) -> None:
@@ -82,7 +82,7 @@
 
         :param roster: kept up to date by whoever follows the leader.
         """
-        self.led_by = ""
+        self.last_leader_address = ""
         """Address of the leader that was followed last."""
 
         self.reach = 0
@@ -114,7 +114,7 @@
         if len(self._met) > MOST_MET:
             self._met.popitem(last=False)
 
-    async def look(self, lost: Leadership | None) -> Around:
+    async def look(self, lost: Leadership | None) -> PeerSurvey:
         """Ask other members what they know, and the lost leader.
 
         :param lost: the leader that was lost; None: there was none.
@@ -137,7 +137,7 @@
         answers = [look for look in looks_by_address.values() if isinstance(look, Look)]
         share = len(answers) / max(1, len(looks_by_address))
         self.reach = round(share * len(places))
-        return Around(
+        return PeerSurvey(
             looks=answers,
             leader_answers=_still_leads(own_word, lost),
             asked=len(looks_by_address),
@@ -161,7 +161,7 @@
     async def _ask_lost(self, lost: Leadership | None) -> Look | NoLook:
         if lost is None or lost.address == self._own.address:
             return NoLook.REFUSED
-        return await look_at(to_address(lost.address), lost.token)
+        return await ask_peer(to_address(lost.address), lost.token)
 
     async def announce(self, leadership: Leadership) -> Sequence[Look]:
         """Tell every member ever met that this one leads; returns what they know."""
@@ -169,7 +169,7 @@
         addresses |= self._met.keys()
         looks = await asyncio.gather(
             *(
-                look_at(to_address(address), leadership.token, announced=leadership)
+                ask_peer(to_address(address), leadership.token, announced=leadership)
                 for address in sorted(addresses - {self._own.address})
             )
         )
@@ -180,7 +180,7 @@
 
         Of seeds and of the last leader nothing is told; they come last.
         """
-        links_by_address = dict.fromkeys(self._seeds | {self.led_by}, 0.0)
+        links_by_address = dict.fromkeys(self._seeds | {self.last_leader_address}, 0.0)
         links_by_address |= {
             member.address: member.link_mbps for member in self._roster.members
         }
@@ -200,7 +200,7 @@
     addresses: Sequence[str], token: int
 ) -> dict[str, Look | NoLook]:
     looks = await asyncio.gather(
-        *(look_at(to_address(address), token) for address in addresses)
+        *(ask_peer(to_address(address), token) for address in addresses)
     )
     return dict(zip(addresses, looks, strict=True))
 
--- a/src/cassiaturn/fleet/_process.py
+++ b/src/cassiaturn/fleet/_process.py
@@ -10,7 +10,7 @@
 import uvloop
 from returns.result import Failure, Success
 
-from cassiaturn.fleet._callers import CallerDesk, MemberDesk
+from cassiaturn.fleet._callers import CallerJobService, MemberJobService
 from cassiaturn.fleet._member import Member
 from cassiaturn.fleet._metrics_server import MetricsServer
 from cassiaturn.fleet._ports import PlatformServices
@@ -61,7 +61,7 @@
         """Return what the member asks of the platform."""
 
     def caller_server(
-        self, desk: CallerDesk, callers: socket.socket, *, opened_at: float
+        self, jobs: CallerJobService, callers: socket.socket, *, opened_at: float
     ) -> CallerServer:
         """Return the server of callers' requests.
 
@@ -120,9 +120,9 @@
         loop.add_signal_handler(signal.SIGHUP, self._reload.set)
         loop.set_exception_handler(self._on_failure)
         member = Member(settings=self._settings, services=self._adapter.services())
-        desk = MemberDesk(member=member)
+        jobs = MemberJobService(member=member)
         callers = self._adapter.caller_server(
-            desk, self._callers, opened_at=self._opened_at
+            jobs, self._callers, opened_at=self._opened_at
         )
         members = ClosingServer([member.service])
         pages = MetricsServer(address=self._settings.metrics, metrics=member.metrics)
@@ -171,18 +171,18 @@
     async def _drain(self, member: Member) -> None:
         """Finish what callers wait for, while new ones go elsewhere."""
         began_at = time.monotonic()
-        log_event(Event.INSTANCE_DRAINING, open=member.desk.open_jobs)
+        log_event(Event.INSTANCE_DRAINING, open=member.caller_jobs.open_jobs)
         if self._broken:
             return
         await member.stop()
         end_at = began_at + self._settings.grace_s - STOP_MARGIN_S
         while time.monotonic() < end_at:
             listened = time.monotonic() - began_at >= LISTEN_ON_S
-            if listened and not member.desk.open_jobs:
+            if listened and not member.caller_jobs.open_jobs:
                 return
             await asyncio.sleep(0.05)
-        log_event(Event.DRAIN_TIMED_OUT, open=member.desk.open_jobs)
-        member.desk.end_all("stopping")
+        log_event(Event.DRAIN_TIMED_OUT, open=member.caller_jobs.open_jobs)
+        member.caller_jobs.end_all("stopping")
         await asyncio.sleep(ANSWER_WAY_S)
 
     async def _watch_settings(self, member: Member) -> None:
--- a/src/cassiaturn/fleet/_routing.py
+++ b/src/cassiaturn/fleet/_routing.py
@@ -7,7 +7,7 @@
 from cassiaturn.observability import Event, log_event
 
 
-class RoutingKeeper:
+class CurrentRouting:
     """Holds the newest version, from wherever it came, and never goes back.
 
     A member that is cut off from the table service gets it from others; the same
--- a/src/cassiaturn/fleet/_routing_feed.py
+++ b/src/cassiaturn/fleet/_routing_feed.py
@@ -10,7 +10,7 @@
 import time
 
 from cassiaturn.fleet._list_pace import ListPace
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.v1 import fleet_pb2 as pb
 
 HAND_ON_AFTER_S = 0.4
@@ -26,7 +26,7 @@
 class RoutingFeed:
     """The configuration that followers are to have."""
 
-    def __init__(self, *, routing: RoutingKeeper, pace: ListPace) -> None:
+    def __init__(self, *, routing: CurrentRouting, pace: ListPace) -> None:
         """Hand on what a keeper holds.
 
         :param pace: when documents may be sent.
--- a/src/cassiaturn/fleet/_service.py
+++ b/src/cassiaturn/fleet/_service.py
@@ -15,13 +15,13 @@
     to_submission,
 )
 from cassiaturn.fleet._failures import report_failure
-from cassiaturn.fleet._follower import BEAT_S, Follower
+from cassiaturn.fleet._follower import HEARTBEAT_S, Follower
 from cassiaturn.fleet._leader import Leader
 from cassiaturn.fleet._leader_load import LeaderLoad
 from cassiaturn.fleet._leadership import Leadership
 from cassiaturn.fleet._list_pace import ListPace
 from cassiaturn.fleet._roster_feed import RosterFeed
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.fleet._routing_feed import RoutingFeed
 from cassiaturn.observability import Event, log_event
 from cassiaturn.transport import sleep_awake
@@ -56,7 +56,7 @@
         """The leadership of this member, if it leads."""
 
     @property
-    def known(self) -> Leadership | None:
+    def known_leadership(self) -> Leadership | None:
         """The latest leadership that it knows of."""
 
     @property
@@ -66,7 +66,7 @@
     def read_routing(self, document: pb.RoutingDocument) -> None:
         """Take in a configuration that another member handed on."""
 
-    def hear_of(self, leadership: Leadership) -> None:
+    def note_reachable_leader(self, leadership: Leadership) -> None:
         """Take in that a member leads that can be reached."""
 
     def note_token(self, token: int) -> None:
@@ -86,7 +86,7 @@
         self,
         *,
         member: MemberState,
-        routing: RoutingKeeper,
+        routing: CurrentRouting,
         load: LeaderLoad,
         link_mbps: float,
     ) -> None:
@@ -185,7 +185,7 @@
         leader = self._member.leader
         if leader is None or hello.token > leader.leadership.token:
             self._member.note_token(hello.token)
-            redirect = from_leadership(self._member.known)
+            redirect = from_leadership(self._member.known_leadership)
             await stream.send_message(pb.LeaderFrame(redirect=redirect))
             return
         follower = Follower(hello=hello, feed=self._feed, routing=self._routing_feed)
@@ -218,8 +218,8 @@
             return
         announced = to_leadership(request.announced)
         if announced is not None:
-            self._member.hear_of(announced)
-        known = self._member.known
+            self._member.note_reachable_leader(announced)
+        known = self._member.known_leadership
         hears = (
             known is not None
             and known.token >= request.token
@@ -275,7 +275,7 @@
         would be 2,300 looks at each job a second.
         """
         now = time.monotonic()
-        if now - self._counted_at >= BEAT_S:
+        if now - self._counted_at >= HEARTBEAT_S:
             self._counted_at = now
             self._queues = [
                 pb.QueueLength(route=route, waiting=waiting)
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import Protocol
 
-from cassiaturn.fleet._follow import look_at
 from cassiaturn.fleet._leader import Leader
 from cassiaturn.fleet._leader_row import RENEW_ROW_S, LeaderRow
+from cassiaturn.fleet._leader_stream import ask_peer
 from cassiaturn.fleet._leadership import Leadership, Look
-from cassiaturn.fleet._neighbours import Neighbours, to_address
+from cassiaturn.fleet._peers import Peers, to_address
 from cassiaturn.fleet._service import FleetService
 from cassiaturn.fleet._suspicion import Suspicion
 from cassiaturn.observability import Event, log_event
@@ -24,7 +24,7 @@
 class TermMember(Protocol):
     """What a term needs of the member that leads."""
 
-    known: Leadership | None
+    known_leadership: Leadership | None
     """The latest leadership that it knows of."""
 
     service: FleetService
@@ -33,7 +33,7 @@
     def next_leadership(self, *, reach: int, terms: int = 1) -> Leadership:
         """Return the leadership that the member would claim now."""
 
-    def hear_of(self, leadership: Leadership) -> None:
+    def note_reachable_leader(self, leadership: Leadership) -> None:
         """Take in that a member leads that can be reached."""
 
 
@@ -46,7 +46,7 @@
         leader: Leader,
         member: TermMember,
         row: LeaderRow,
-        neighbours: Neighbours,
+        peers: Peers,
         suspicion: Suspicion,
     ) -> None:
         """Prepare a term that has been claimed; :meth:`run` keeps it.
@@ -56,7 +56,7 @@
         self._leader = leader
         self._member = member
         self._row = row
-        self._neighbours = neighbours
+        self._peers = peers
         self._suspicion = suspicion
         self._silent_members = 0
 
@@ -78,7 +78,7 @@
         checks = 0
         while True:
             leadership = self._leader.leadership
-            known = self._member.known
+            known = self._member.known_leadership
             if known is not None and known.token > leadership.token:
                 return known
             holder = await self._row.renew(leadership)
@@ -129,20 +129,20 @@
             self._go_on_as(self._member.next_leadership(reach=left))
 
     def _go_on_as(self, claim: Leadership) -> None:
-        self._member.known = claim
+        self._member.known_leadership = claim
         self._leader.raise_token(claim)
         self._member.service.send_leadership(claim)
         log_event(Event.LEADER_ELECTED, token=claim.token, term=claim.term, raised=True)
 
     async def _announce(self, leadership: Leadership) -> bool:
         """Tell every member that is known; returns whether one knows a later leader."""
-        looks = await self._neighbours.announce(leadership)
+        looks = await self._peers.announce(leadership)
         later = [look.highest for look in looks if look.highest is not None]
         later = [known for known in later if known.token > leadership.token]
         for known in later:
-            self._member.hear_of(known)
+            self._member.note_reachable_leader(known)
         return bool(later)
 
     async def _is_reachable(self, leadership: Leadership) -> bool:
-        look = await look_at(to_address(leadership.address), leadership.token)
+        look = await ask_peer(to_address(leadership.address), leadership.token)
         return isinstance(look, Look) and look.highest is not None
--- a/src/cassiaturn/fleet/tests/test_desk.py
+++ b/src/cassiaturn/fleet/tests/test_caller_jobs.py
@@ -6,8 +6,8 @@
 import pytest
 
 from cassiaturn.entities import JobRequest, Resources, TaskGroup
-from cassiaturn.fleet import _desk
-from cassiaturn.fleet._desk import JobDesk, OpenJob
+from cassiaturn.fleet import _caller_jobs
+from cassiaturn.fleet._caller_jobs import CallerJobs, OpenJob
 from cassiaturn.observability import FleetMetrics
 from cassiaturn.sharing import _standstill
 from cassiaturn.standins.virtual_targets import ROUTE
@@ -40,14 +40,16 @@
         self.cancelled.append(job_id)
 
 
-def _desk_of(leader: _Leader) -> JobDesk:
-    desk = JobDesk(metrics=FleetMetrics(member_name="m", failure_domain="a"))
-    desk.attach(leader)
-    return desk
+def _desk_of(leader: _Leader) -> CallerJobs:
+    caller_jobs = CallerJobs(metrics=FleetMetrics(member_name="m", failure_domain="a"))
+    caller_jobs.attach(leader)
+    return caller_jobs
 
 
-async def _submitted(desk: JobDesk, limit_s: float = 1.5) -> "asyncio.Task[Outcome]":
-    waiting = asyncio.ensure_future(desk.submit(REQUEST, ROUTE, limit_s))
+async def _submitted(
+    caller_jobs: CallerJobs, limit_s: float = 1.5
+) -> "asyncio.Task[Outcome]":
+    waiting = asyncio.ensure_future(caller_jobs.submit(REQUEST, ROUTE, limit_s))
     await asyncio.sleep(0)
     return waiting
 
@@ -61,24 +63,24 @@
 ) -> None:
     """Jobs on their way to a leader that was lost waited for runs that never were."""
     lost, following = _Leader(waits_for_confirmation=waits), _Leader()
-    desk = _desk_of(lost)
-    waiting = await _submitted(desk)
+    caller_jobs = _desk_of(lost)
+    waiting = await _submitted(caller_jobs)
     if is_confirmed:
-        assert desk.confirm(JOB)
-    desk.detach(lost)
-    desk.attach(following)
+        assert caller_jobs.confirm(JOB)
+    caller_jobs.detach(lost)
+    caller_jobs.attach(following)
     assert following.begun_earlier == [begun_earlier]
     waiting.cancel()
 
 
 async def test_a_job_whose_caller_left_is_not_confirmed() -> None:
     leader = _Leader()
-    desk = _desk_of(leader)
-    waiting = await _submitted(desk)
+    caller_jobs = _desk_of(leader)
+    waiting = await _submitted(caller_jobs)
     waiting.cancel()
     await asyncio.gather(waiting, return_exceptions=True)
     assert leader.cancelled == [JOB]
-    assert not desk.confirm(JOB)
+    assert not caller_jobs.confirm(JOB)
 
 
 @pytest.mark.parametrize(
@@ -91,11 +93,11 @@
     """A caller was told that its job did not run, and the job ran."""
     monkeypatch.setattr(_standstill, "PATIENCE_S", 0.01)
     leader = _Leader()
-    desk = _desk_of(leader)
-    waiting = await _submitted(desk)
+    caller_jobs = _desk_of(leader)
+    waiting = await _submitted(caller_jobs)
     if is_confirmed:
-        desk.confirm(JOB)
-    desk.detach(leader)
+        caller_jobs.confirm(JOB)
+    caller_jobs.detach(leader)
     assert (await waiting).verdict is verdict
 
 
@@ -105,8 +107,8 @@
 ) -> None:
     """A leader was told of the route's timeout as the end of the caller's patience."""
     leader = _Leader()
-    desk = _desk_of(leader)
-    waiting = await _submitted(desk, told_s)
+    caller_jobs = _desk_of(leader)
+    waiting = await _submitted(caller_jobs, told_s)
     (job,) = leader.jobs
     assert job.limit_at - job.arrived_at == pytest.approx(limit_s)
     waiting.cancel()
@@ -119,13 +121,13 @@
 ) -> None:
     """Jobs were refused 0.35 s after a leader was lost, which takes 0.5 to replace."""
     lost, following = _Leader(), _Leader()
-    desk = _desk_of(lost)
+    caller_jobs = _desk_of(lost)
     if not has_had_leader:
-        desk.detach(lost)
-    waiting = await _submitted(desk, limit_s)
-    desk.detach(lost)
+        caller_jobs.detach(lost)
+    waiting = await _submitted(caller_jobs, limit_s)
+    caller_jobs.detach(lost)
     await asyncio.sleep(0.7)
-    desk.attach(following)
+    caller_jobs.attach(following)
     assert len(following.jobs) == 1
     waiting.cancel()
 
@@ -139,14 +141,14 @@
 ) -> None:
     """A member that was cut off kept jobs that other members could have served."""
     monkeypatch.setattr(_standstill, "PATIENCE_S", 0.1)
-    monkeypatch.setattr(_desk, "RECONNECT_WAIT_S", 0.1)
+    monkeypatch.setattr(_caller_jobs, "RECONNECT_WAIT_S", 0.1)
     leader, following = _Leader(), _Leader()
-    desk = _desk_of(leader)
-    desk.detach(leader)
-    waiting = await _submitted(desk, limit_s)
+    caller_jobs = _desk_of(leader)
+    caller_jobs.detach(leader)
+    waiting = await _submitted(caller_jobs, limit_s)
     await asyncio.sleep(0.25)
     assert waiting.done() is not is_kept
-    desk.attach(following)
+    caller_jobs.attach(following)
     assert len(following.jobs) == is_kept
     waiting.cancel()
 
@@ -155,12 +157,14 @@
     """A planned change of leader ended all jobs past half of their time at once."""
     request = replace(REQUEST, groups=(replace(REQUEST.groups[0], expected_run_s=1.0),))
     lost, following = _Leader(waits_for_confirmation=False), _Leader()
-    desk = _desk_of(lost)
-    waiting = asyncio.ensure_future(desk.submit(request, ROUTE, 1.45, waited_s=0.98))
+    caller_jobs = _desk_of(lost)
+    waiting = asyncio.ensure_future(
+        caller_jobs.submit(request, ROUTE, 1.45, waited_s=0.98)
+    )
     await asyncio.sleep(0)
-    desk.detach(lost)
+    caller_jobs.detach(lost)
     await asyncio.sleep(0.1)
-    desk.attach(following)
+    caller_jobs.attach(following)
     assert following.begun_earlier == [True]
     waiting.cancel()
 
@@ -168,16 +172,16 @@
 async def test_a_job_that_was_cancelled_without_a_leader_is_taken_back_later() -> None:
     """A cancelled job ran on, since its leader's stream was broken just then."""
     leader = _Leader()
-    desk = _desk_of(leader)
-    waiting = await _submitted(desk)
-    desk.detach(leader)
-    assert desk.cancel(JOB)
+    caller_jobs = _desk_of(leader)
+    waiting = await _submitted(caller_jobs)
+    caller_jobs.detach(leader)
+    assert caller_jobs.cancel(JOB)
     await waiting
-    desk.attach(leader)
+    caller_jobs.attach(leader)
     assert leader.cancelled == [JOB]
-    again = await _submitted(desk)
-    desk.detach(leader)
-    desk.attach(leader)
+    again = await _submitted(caller_jobs)
+    caller_jobs.detach(leader)
+    caller_jobs.attach(leader)
     assert leader.cancelled == [JOB]
     again.cancel()
 
@@ -185,9 +189,9 @@
 async def test_a_request_that_waits_for_longer_keeps_the_job_that_it_joins() -> None:
     """A caller came again with more time, and got the end of its first request."""
     leader = _Leader()
-    desk = _desk_of(leader)
-    first = await _submitted(desk, 0.1)
-    second = await _submitted(desk, 5.0)
+    caller_jobs = _desk_of(leader)
+    first = await _submitted(caller_jobs, 0.1)
+    second = await _submitted(caller_jobs, 5.0)
     await asyncio.sleep(0.4)
     assert not first.done()
     assert leader.jobs[-1].limit_at - leader.jobs[0].arrived_at > 4.0
@@ -203,10 +207,10 @@
     is_confirmed: bool, verdict: Verdict
 ) -> None:
     """A planned stop closed the connections of callers that still waited."""
-    desk = _desk_of(_Leader())
-    waiting = await _submitted(desk, 60.0)
+    caller_jobs = _desk_of(_Leader())
+    waiting = await _submitted(caller_jobs, 60.0)
     if is_confirmed:
-        desk.confirm(JOB)
-    desk.end_all("stopping")
+        caller_jobs.confirm(JOB)
+    caller_jobs.end_all("stopping")
     assert (await waiting).verdict is verdict
-    assert not desk.open_jobs
+    assert not caller_jobs.open_jobs
--- a/src/cassiaturn/fleet/tests/test_neighbours.py
+++ b/src/cassiaturn/fleet/tests/test_peers.py
@@ -6,14 +6,14 @@
 import pytest
 
 from cassiaturn.entities import Address
-from cassiaturn.fleet import _neighbours
+from cassiaturn.fleet import _peers
 from cassiaturn.fleet._leadership import Look, NoLook
-from cassiaturn.fleet._neighbours import (
+from cassiaturn.fleet._peers import (
     ASKED_AT_ONCE,
     EARLY_MEMBERS,
     EARLY_OF_DOMAIN,
     OTHERS_ASKED,
-    Neighbours,
+    Peers,
 )
 from cassiaturn.fleet._roster import Roster
 from cassiaturn.settings import FleetSettings
@@ -35,7 +35,7 @@
 ]
 
 
-def _neighbours_of(member: pb.Member) -> Neighbours:
+def _neighbours_of(member: pb.Member) -> Peers:
     roster = Roster()
     others = [other for other in MEMBERS if other is not member]
     roster.take(pb.RosterPage(members=others, whole=True))
@@ -52,7 +52,7 @@
         table_service=address,
         link_mbps=member.link_mbps,
     )
-    return Neighbours(settings=settings, roster=roster)
+    return Peers(settings=settings, roster=roster)
 
 
 class _Asked:
@@ -63,7 +63,7 @@
         self._answers = answers
         self._members_by_address = {member.address: member for member in MEMBERS}
 
-    async def look_at(
+    async def ask_peer(
         self, address: Address, token: int, announced: object = None
     ) -> Look | NoLook:
         self.count += 1
@@ -77,7 +77,7 @@
 def ask(monkeypatch: pytest.MonkeyPatch) -> Callable[..., _Asked]:
     def patch(answers: Callable[[pb.Member], bool]) -> _Asked:
         asked = _Asked(answers)
-        monkeypatch.setattr(_neighbours, "look_at", asked.look_at)
+        monkeypatch.setattr(_peers, "ask_peer", asked.ask_peer)
         return asked
 
     return patch
@@ -155,6 +155,6 @@
         member for member in MEMBERS if (member.failure_domain in cut_off) is inside
     ]
     ask(lambda member: member in side)
-    neighbours = _neighbours_of(side[0])
-    await neighbours.look(None)
-    return neighbours.reach
+    peers = _neighbours_of(side[0])
+    await peers.look(None)
+    return peers.reach
--- a/src/cassiaturn/platform/_entry.py
+++ b/src/cassiaturn/platform/_entry.py
@@ -17,7 +17,7 @@
 from tornado.web import Application, RequestHandler
 
 from cassiaturn.entities import Address, JobRequest, JobStatus, Route
-from cassiaturn.fleet import CallerDesk
+from cassiaturn.fleet import CallerJobService
 from cassiaturn.platform._decode import decode_job
 from cassiaturn.transport import take_waiting
 from cassiaturn.workload import Outcome, Verdict
@@ -64,7 +64,7 @@
         callers: socket,
         opened_at: float,
         readiness: Address,
-        desk: CallerDesk,
+        desk: CallerJobService,
     ) -> None:
         """Prepare both.
 
@@ -134,9 +134,9 @@
 
 
 class _Handler(RequestHandler):
-    desk: CallerDesk
+    desk: CallerJobService
 
-    def initialize(self, desk: CallerDesk) -> None:
+    def initialize(self, desk: CallerJobService) -> None:
         self.desk = desk
 
     def answer(self, status: HTTPStatus, document: str = "") -> None:
--- a/src/cassiaturn/platform/_services.py
+++ b/src/cassiaturn/platform/_services.py
@@ -2,7 +2,7 @@
 
 from socket import socket
 
-from cassiaturn.fleet import CallerDesk, PlatformServices
+from cassiaturn.fleet import CallerJobService, PlatformServices
 from cassiaturn.platform._decode import decode_configuration, decode_target
 from cassiaturn.platform._entry import CallerServer
 from cassiaturn.platform._store_calls import StoreCaller
@@ -55,7 +55,7 @@
         )
 
     def caller_server(
-        self, desk: CallerDesk, callers: socket, *, opened_at: float
+        self, desk: CallerJobService, callers: socket, *, opened_at: float
     ) -> CallerServer:
         """Return the servers for callers, on a listening socket, and the balancer.
 
--- a/src/cassiaturn/platform/tests/fleet.py
+++ b/src/cassiaturn/platform/tests/fleet.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Result
 
 from cassiaturn.entities import Address
-from cassiaturn.fleet import Member, MemberDesk
+from cassiaturn.fleet import Member, MemberJobService
 from cassiaturn.load import Relay, RelayPlace
 from cassiaturn.load._ports import free_ports
 from cassiaturn.platform import PlatformAdapter
@@ -106,7 +106,7 @@
         self.adapter = PlatformAdapter(self.settings, client=self._client)
         self.member = Member(settings=self.settings, services=self.adapter.services())
         self.callers: CallerServer = self.adapter.caller_server(
-            MemberDesk(member=self.member),
+            MemberJobService(member=self.member),
             socket.create_server((LOOPBACK, self.settings.callers.port)),
             opened_at=time.monotonic(),
         )
--- a/src/cassiaturn/platform/tests/test_directory_changes.py
+++ b/src/cassiaturn/platform/tests/test_directory_changes.py
@@ -3,7 +3,7 @@
 import asyncio
 import time
 
-from cassiaturn.fleet._follower import BEAT_S
+from cassiaturn.fleet._follower import HEARTBEAT_S
 from cassiaturn.fleet._target_timing import ORDER_TIMEOUT_S
 from cassiaturn.platform.tests.fleet import Fleet
 from cassiaturn.platform.tests.standin_store import LOOPBACK
@@ -121,4 +121,4 @@
     leader.waiting_by_route = counted  # type: ignore[method-assign]
     began_at = time.monotonic()
     await asyncio.sleep(1.0)
-    assert len(counts) <= (time.monotonic() - began_at) / BEAT_S + 1
+    assert len(counts) <= (time.monotonic() - began_at) / HEARTBEAT_S + 1
--- a/src/cassiaturn/platform/tests/test_silent_leader.py
+++ b/src/cassiaturn/platform/tests/test_silent_leader.py
@@ -77,7 +77,7 @@
     monkeypatch.setattr(_spare_time, "LATE_S", float("inf"))
     monkeypatch.setattr(_spare_time, "BUSY_SHARE", float("inf"))
     follower = fleet.followers()[0]
-    await fleet.until(lambda: follower.member.desk.waits_for_confirmation)
+    await fleet.until(lambda: follower.member.caller_jobs.waits_for_confirmation)
     fleet.runners[-1].silent = True
     fleet.leader().stand_still()
     assert (await fleet.submit(follower, JOB, count=4))[:2] == COMPLETED
@@ -141,11 +141,11 @@
     for runner in fleet.runners:
         runner.run_s = 1.2
     leader = fleet.leader()
-    before = leader.member.known
+    before = leader.member.known_leadership
     waiting = await _submit_and_start(fleet, fleet.followers()[0], count=4)
     leader.member.note_silent_member()
-    await fleet.until(lambda: leader.member.known != before)
-    after = leader.member.known
+    await fleet.until(lambda: leader.member.known_leadership != before)
+    after = leader.member.known_leadership
     assert before is not None
     assert after is not None
     assert after.term == before.term + 1
@@ -162,9 +162,9 @@
     Forgotten before the wait for it, the news would be acted on a wait later, and the
     member's callers be refused meanwhile.
     """
-    monkeypatch.setattr(_member, "WAIT_S", 30.0)
+    monkeypatch.setattr(_member, "LOOK_PAUSE_S", 30.0)
     member = RunningMember("front-0", store=f"{LOOPBACK}:1", seeds=()).member
-    member.hear_of(
+    member.note_reachable_leader(
         next_leadership(None, member_id="front-1/x", address="127.0.0.1:2", reach=1)
     )
     async with asyncio.timeout(5.0):
@@ -173,8 +173,8 @@
 
 async def test_the_smaller_side_of_a_cut_claims_no_rank(fleet: Fleet) -> None:
     leader = fleet.leader()
-    before = leader.member.known
+    before = leader.member.known_leadership
     for _ in range(3):
         leader.member.note_silent_member()
     await asyncio.sleep(1.0)
-    assert leader.member.known == before
+    assert leader.member.known_leadership == before
--- a/src/cassiaturn/platform/tests/test_start.py
+++ b/src/cassiaturn/platform/tests/test_start.py
@@ -12,7 +12,7 @@
 import pytest
 
 from cassiaturn.entities import Address, JobRequest, Route
-from cassiaturn.fleet import MemberDesk
+from cassiaturn.fleet import MemberJobService
 from cassiaturn.platform._entry import CallerServer
 from cassiaturn.platform.tests.fleet import CONFIGURATION, HOST, PREFIX, free_addresses
 from cassiaturn.platform.tests.standin_runner import StandinRunner
@@ -128,7 +128,7 @@
     assert connected_at < imported_at - LEAST_IMPORT_TIME
 
 
-class _WaitNotingDesk(MemberDesk):
+class _WaitNotingDesk(MemberJobService):
     """Completes every job, and keeps how long its caller had waited."""
 
     is_stopping = False
--- a/src/cassiaturn/platform/tests/test_wide_links.py
+++ b/src/cassiaturn/platform/tests/test_wide_links.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from cassiaturn.fleet._follow import LOOK_TIMEOUT_S
+from cassiaturn.fleet._leader_stream import LOOK_TIMEOUT_S
 from cassiaturn.fleet._leadership import Leadership
-from cassiaturn.fleet._neighbours import Around
+from cassiaturn.fleet._peers import PeerSurvey
 from cassiaturn.fleet._service import FleetService
 from cassiaturn.platform.tests.fleet import Fleet, RunningMember
 
@@ -79,13 +79,13 @@
     with monkeypatch.context() as patches:
         patches.setattr(FleetService, "Look", answer_late)
         (wide,) = await _with_wide_members(fleet, 1)
-    look = wide.member._neighbours.look
+    look = wide.member._peers.look
 
-    async def look_late(lost: Leadership | None) -> Around:
+    async def look_late(lost: Leadership | None) -> PeerSurvey:
         await asyncio.sleep(1.5 * LOOK_TIMEOUT_S)
         return await look(lost)
 
-    monkeypatch.setattr(wide.member._neighbours, "look", look_late)
+    monkeypatch.setattr(wide.member._peers, "look", look_late)
     await fleet.kill(fleet.leader())
     await fleet.until(lambda: fleet.heard_targets() == len(fleet.runners))
     assert fleet.leader() is wide
