--- a/src/cassiaturn/fleet/_follow.py
+++ b/src/cassiaturn/fleet/_leader_stream.py
@@ -1,4 +1,4 @@
-"""A member's stream to the leader that it follows."""
+"""The client side of the stream between a follower and its leader."""
 
 import asyncio
 import time
@@ -10,36 +10,39 @@
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
 from cassiaturn.entities import Address
+from cassiaturn.fleet._caller_jobs import CallerJobs, OpenJob
 from cassiaturn.fleet._codec import (
     from_leadership,
     from_submission,
     to_leadership,
     to_outcome,
 )
-from cassiaturn.fleet._desk import JobDesk, OpenJob
-from cassiaturn.fleet._follower import BEAT_S
+from cassiaturn.fleet._follower import HEARTBEAT_S
 from cassiaturn.fleet._leadership import Leadership, Look, LookFailure
 from cassiaturn.fleet._roster import Roster
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.observability import Event, log_event
 from cassiaturn.transport import run_apart, sleep_awake
 from cassiaturn.v1 import fleet_pb2 as pb
 from cassiaturn.v1.fleet_grpc import FleetStub
 
 CONNECT_TIMEOUT_S = 0.4
-"""Longest wait for a leader's first frame, in seconds: a hundred round trips."""
+"""Longest wait for a connection, and for the leader's first frame, in seconds: a
+hundred round trips."""
 
 LEADER_SILENCE_S = 0.45
 """Silence after which the leader counts as lost, in seconds: three heartbeats. With
-0.1 s for looks and a claim, and renewals each 0.3 s, a successor reaches targets
-before the first of their leases of a second ends, and keeps what runs."""
+0.1 s to ask peers and claim, and lease renewals every 0.3 s, a successor reaches the
+targets before the first of their one-second leases expires, so that running tasks are
+kept."""
 
-HEARD_S = 0.35
-"""How lately a leader must have been heard to count as alive for others."""
+LEADER_HEARD_S = 0.35
+"""How recently the leader must have been heard for this member to report it to peers as
+alive, in seconds."""
 
 LOOK_TIMEOUT_S = 0.1
-"""Longest wait for another member's word on the leader, in seconds: thirty times the
-usual one. Behind a cut some never answer, and callers wait meanwhile."""
+"""Longest wait for a peer's view of the leader, in seconds: thirty times the usual one.
+In a network partition some peers never answer, and callers wait meanwhile."""
 
 STREAM_ERRORS = (
     OSError,
@@ -48,11 +51,11 @@
     StreamTerminatedError,
     TimeoutError,
 )
-"""What the loss of a stream raises."""
+"""Errors that a lost stream raises."""
 
 
 class FollowEnd(Enum):
-    """Why a member no longer follows."""
+    """Why a member stopped following."""
 
     REFUSED = auto()
     """Nothing listens at the leader's address: its process ended."""
@@ -64,45 +67,46 @@
     """The leader does not answer."""
 
     REDIRECTED = auto()
-    """It does not lead."""
+    """The member does not lead."""
 
     ASKED = auto()
-    """It asks this member to lead."""
+    """The leader asks this member to lead."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Followed:
-    """How following a leader ended."""
+class FollowResult:
+    """Result of following a leader."""
 
     end: FollowEnd
-    """Why."""
+    """Why it ended."""
 
-    named: Leadership | None = None
-    """The leader that it named instead."""
+    named_leadership: Leadership | None = None
+    """The leader that was named instead, if any."""
 
     welcomed: bool = False
-    """Whether it had taken this member on."""
+    """Whether the leader had accepted this member as a follower."""
 
 
-class Following:
-    """One stream to one leader."""
+class LeaderStream:
+    """One stream from this member to one leader."""
 
     def __init__(
         self,
         *,
         leadership: Leadership,
         hello: pb.Hello,
-        desk: JobDesk,
-        routing: RoutingKeeper,
+        caller_jobs: CallerJobs,
+        routing: CurrentRouting,
         roster: Roster,
         read_routing: Callable[[pb.RoutingDocument], None],
         on_leadership: Callable[[Leadership], None],
     ) -> None:
-        """Prepare to follow; :meth:`run` does.
+        """Prepare to follow; :meth:`run` opens the stream.
 
         :param hello: this member's first frame.
-        :param roster: kept up to date with what the leader tells.
-        :param on_leadership: takes the leader's word that its token is higher now.
+        :param roster: updated with the lists that the leader sends.
+        :param read_routing: called with a configuration that the leader sends.
+        :param on_leadership: called when the leader continues under a higher token.
         """
         self.leadership = leadership
         self.heard_at = 0.0
@@ -110,29 +114,29 @@
         self.leaving = hello.leaving
         self.waits_for_confirmation = False
         self._hello = hello
-        self._desk = desk
+        self._caller_jobs = caller_jobs
         self._routing = routing
         self._roster = roster
         self._read_routing = read_routing
         self._on_leadership = on_leadership
         self._frames: asyncio.Queue[pb.FollowerFrame] = asyncio.Queue()
-        self._handed_on = 0
+        self._sent_routing_version = 0
         self._successor: asyncio.Future[Leadership] = (
             asyncio.get_running_loop().create_future()
         )
 
     @property
     def hears_leader(self) -> bool:
-        """Whether the leader was heard just now."""
-        return self.welcomed and time.monotonic() - self.heard_at < HEARD_S
+        """Whether the leader was heard within ``LEADER_HEARD_S``."""
+        return self.welcomed and time.monotonic() - self.heard_at < LEADER_HEARD_S
 
-    def leave_for(self, successor: Leadership) -> None:
-        """End the stream: another member announced that it leads."""
+    def end_for(self, successor: Leadership) -> None:
+        """End the stream because another member announced that it leads."""
         if not self._successor.done():
             self._successor.set_result(successor)
 
     def submit(self, job: OpenJob, *, begun_earlier: bool) -> None:
-        """Pass a job on to the leader."""
+        """Forward a job to the leader."""
         now = time.monotonic()
         message = from_submission(
             job.request,
@@ -146,33 +150,33 @@
         self._frames.put_nowait(pb.FollowerFrame(submit=message))
 
     def cancel(self, job_id: str) -> None:
-        """Say that nobody here waits for a job any more."""
+        """Tell the leader that no caller of this member waits for a job any more."""
         message = pb.JobCancellation(job_id=job_id)
         self._frames.put_nowait(pb.FollowerFrame(cancel=message))
 
-    async def run(self) -> Followed:
-        """Follow until the stream ends, the leader is silent, or it says so."""
+    async def run(self) -> FollowResult:
+        """Follow until the stream ends, the leader falls silent, or it redirects."""
         host, _, port = self.leadership.address.rpartition(":")
         channel = Channel(host, int(port))
         try:
             return await run_apart(self._run(channel))
         except ConnectionRefusedError:
-            return Followed(end=FollowEnd.REFUSED, welcomed=self.welcomed)
+            return FollowResult(end=FollowEnd.REFUSED, welcomed=self.welcomed)
         except TimeoutError:
-            return Followed(end=FollowEnd.SILENT, welcomed=self.welcomed)
+            return FollowResult(end=FollowEnd.SILENT, welcomed=self.welcomed)
         except STREAM_ERRORS as error:
             log_event(
                 Event.PEER_LOST, member=self.leadership.member_id, detail=repr(error)
             )
-            return Followed(end=FollowEnd.BROKEN, welcomed=self.welcomed)
+            return FollowResult(end=FollowEnd.BROKEN, welcomed=self.welcomed)
         finally:
-            self._desk.detach(self, heard_at=self.heard_at)
+            self._caller_jobs.detach(self, heard_at=self.heard_at)
             self.welcomed = False
             channel.close()
 
-    async def _run(self, channel: Channel) -> Followed:
-        # Without a bound on the connect, a host that is cut off holds it for
-        # minutes; the stream's own end is bounded by the silence below.
+    async def _run(self, channel: Channel) -> FollowResult:
+        # Connecting to an unreachable host would take minutes without this timeout; an
+        # open stream is bounded by the check for silence below.
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             await channel.__connect__()
         async with FleetStub(channel).Follow.open() as stream:
@@ -180,15 +184,17 @@
                 await stream.send_message(pb.FollowerFrame(hello=self._hello))
                 first = await stream.recv_message()
             if first is None:
-                return Followed(end=FollowEnd.BROKEN)
+                return FollowResult(end=FollowEnd.BROKEN)
             if not first.HasField("welcome"):
-                named = to_leadership(first.redirect)
-                return Followed(end=FollowEnd.REDIRECTED, named=named)
+                named_leadership = to_leadership(first.redirect)
+                return FollowResult(
+                    end=FollowEnd.REDIRECTED, named_leadership=named_leadership
+                )
             self._begin()
             try:
                 return await self._serve(stream)
             finally:
-                # The leader's process may stand still and never read the end.
+                # A leader whose process stands still may never read the stream's end.
                 await stream.cancel()
 
     def _begin(self) -> None:
@@ -200,35 +206,35 @@
             leader=self.leadership.member_id,
             token=self.leadership.token,
         )
-        self._desk.attach(self)
-
-    async def _serve(self, stream) -> Followed:  # type: ignore[no-untyped-def]
-        sending = asyncio.ensure_future(self._send(stream))
-        receiving = asyncio.ensure_future(self._receive(stream))
-        watching = asyncio.ensure_future(self._watch_silence())
-        leaving = asyncio.ensure_future(self._wait_for_successor())
-        jobs = [sending, receiving, watching, leaving]
+        self._caller_jobs.attach(self)
+
+    async def _serve(self, stream) -> FollowResult:  # type: ignore[no-untyped-def]
+        sender = asyncio.ensure_future(self._send(stream))
+        receiver = asyncio.ensure_future(self._receive(stream))
+        watcher = asyncio.ensure_future(self._watch_silence())
+        redirector = asyncio.ensure_future(self._wait_for_successor())
+        tasks = [sender, receiver, watcher, redirector]
         try:
-            done, _ = await asyncio.wait(jobs, return_when=asyncio.FIRST_COMPLETED)
-            for job in done:
-                ended = job.result()
-                if ended is not None:
-                    return ended
-            return Followed(end=FollowEnd.BROKEN, welcomed=True)
+            done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                result = task.result()
+                if result is not None:
+                    return result
+            return FollowResult(end=FollowEnd.BROKEN, welcomed=True)
         finally:
-            for job in jobs:
-                job.cancel()
-            await asyncio.gather(*jobs, return_exceptions=True)
+            for task in tasks:
+                task.cancel()
+            await asyncio.gather(*tasks, return_exceptions=True)
 
-    def send_beat(self) -> None:
-        """Say at once what heartbeats say.
+    def send_heartbeat(self) -> None:
+        """Send a heartbeat at once, to report a change.
 
-        The leader would send a configuration that this member has, or ask it to lead
-        although it is stopping.
+        Otherwise the leader would send a configuration that this member already has, or
+        ask it to lead although it is stopping.
         """
-        self._frames.put_nowait(self._beat())
+        self._frames.put_nowait(self._heartbeat())
 
-    def _beat(self) -> pb.FollowerFrame:
+    def _heartbeat(self) -> pb.FollowerFrame:
         beat = pb.FollowerBeat(
             routing_version=self._routing.version, leaving=self.leaving
         )
@@ -237,92 +243,102 @@
     async def _send(self, stream) -> None:  # type: ignore[no-untyped-def]
         while True:
             try:
-                async with asyncio.timeout(BEAT_S):
+                async with asyncio.timeout(HEARTBEAT_S):
                     frame = await self._frames.get()
             except TimeoutError:
-                frame = self._beat()
+                frame = self._heartbeat()
             await stream.send_message(frame)
 
-    async def _receive(self, stream) -> Followed | None:  # type: ignore[no-untyped-def]
+    async def _receive(self, stream) -> FollowResult | None:  # type: ignore[no-untyped-def]
         while (frame := await stream.recv_message()) is not None:
             self.heard_at = time.monotonic()
             match frame.WhichOneof("frame"):
                 case "outcome":
-                    self._desk.settle(frame.outcome.job_id, to_outcome(frame.outcome))
+                    self._caller_jobs.settle(
+                        frame.outcome.job_id, to_outcome(frame.outcome)
+                    )
                 case "taken_in":
                     self._confirm(frame.taken_in)
                 case "beat":
-                    self._take_beat(frame.beat)
+                    self._on_heartbeat(frame.beat)
                 case "roster":
-                    self._roster.take(frame.roster)
+                    self._roster.apply(frame.roster)
                 case "routing":
                     self._read_routing(frame.routing)
                 case "welcome":
-                    self._take_leadership(frame.welcome)
+                    self._update_leadership(frame.welcome)
                 case "redirect":
-                    named = to_leadership(frame.redirect)
-                    return Followed(
-                        end=FollowEnd.REDIRECTED, named=named, welcomed=True
+                    named_leadership = to_leadership(frame.redirect)
+                    return FollowResult(
+                        end=FollowEnd.REDIRECTED,
+                        named_leadership=named_leadership,
+                        welcomed=True,
                     )
                 case "hand_over":
-                    return Followed(end=FollowEnd.ASKED, welcomed=True)
+                    return FollowResult(end=FollowEnd.ASKED, welcomed=True)
                 case _:
                     continue
         return None
 
     def _confirm(self, message: pb.JobConfirmation) -> None:
-        if self._desk.confirm(message.job_id):
+        if self._caller_jobs.confirm(message.job_id):
             self._frames.put_nowait(pb.FollowerFrame(confirm=message))
 
-    def _take_leadership(self, message: pb.Leadership) -> None:
+    def _update_leadership(self, message: pb.Leadership) -> None:
         leadership = to_leadership(message)
         if leadership is not None:
             self.leadership = leadership
             self._on_leadership(leadership)
 
-    def _take_beat(self, beat: pb.LeaderBeat) -> None:
-        self._desk.waiting_by_route = {row.route: row.waiting for row in beat.queues}
-        self._desk.shed_share = beat.shed_share
+    def _on_heartbeat(self, beat: pb.LeaderBeat) -> None:
+        self._caller_jobs.waiting_by_route = {
+            row.route: row.waiting for row in beat.queues
+        }
+        self._caller_jobs.shed_share = beat.shed_share
         self.waits_for_confirmation = beat.asks_first
         table = self._routing.current
         if table is None or table.version <= beat.routing_version:
             return
-        if self._handed_on == table.version:
+        if self._sent_routing_version == table.version:
             return
-        # The leader is cut off from the table service, or slower to hear of it.
-        self._handed_on = table.version
+        # The leader can't reach the table service, or has not read this version yet.
+        self._sent_routing_version = table.version
         document = pb.RoutingDocument(version=table.version, document=table.document)
         self._frames.put_nowait(pb.FollowerFrame(routing=document))
 
-    async def _wait_for_successor(self) -> Followed:
-        named = await asyncio.shield(self._successor)
-        return Followed(end=FollowEnd.REDIRECTED, named=named, welcomed=True)
+    async def _wait_for_successor(self) -> FollowResult:
+        named_leadership = await asyncio.shield(self._successor)
+        return FollowResult(
+            end=FollowEnd.REDIRECTED, named_leadership=named_leadership, welcomed=True
+        )
 
-    async def _watch_silence(self) -> Followed:
+    async def _watch_silence(self) -> FollowResult:
         while True:
             silent_s = time.monotonic() - self.heard_at
             if silent_s >= LEADER_SILENCE_S:
-                return Followed(end=FollowEnd.SILENT, welcomed=True)
+                return FollowResult(end=FollowEnd.SILENT, welcomed=True)
             await sleep_awake(
                 LEADER_SILENCE_S - silent_s, most_grace_s=LEADER_SILENCE_S
             )
 
 
-async def look_at(
+async def ask_peer(
     address: Address,
     token: int,
     announced: Leadership | None = None,
 ) -> Look | LookFailure:
-    """Ask a member what it knows of a leader.
+    """Ask a peer for its view of a leader.
 
-    :param address: where the member serves others.
+    :param address: the peer's address for other members.
     :param token: the token of that leader.
-    :param announced: the asker's own leadership, if it has just begun.
+    :param announced: the caller's own leadership, to announce it; None if it does not
+        lead.
+    :returns: the peer's answer, or why there is none.
     """
     request = pb.LookRequest(token=token, announced=from_leadership(announced))
     channel = Channel(address.host, address.port)
     try:
-        reply = await run_apart(_ask(channel, request))
+        reply = await run_apart(_request_look(channel, request))
     except STREAM_ERRORS as error:
         log_event(Event.PEER_LOST, address=str(address), detail=repr(error))
         is_refused = isinstance(error, ConnectionRefusedError)
@@ -336,7 +352,7 @@
     )
 
 
-async def _ask(channel: Channel, request: pb.LookRequest) -> pb.LookReply:
+async def _request_look(channel: Channel, request: pb.LookRequest) -> pb.LookReply:
     async with asyncio.timeout(LOOK_TIMEOUT_S):
         await channel.__connect__()
         return await FleetStub(channel).Look(request)
--- a/src/cassiaturn/fleet/_member_metrics.py
+++ b/src/cassiaturn/fleet/_member_metrics.py
@@ -1,28 +1,28 @@
-"""What a member shows of itself beside its histograms."""
+"""Counters and gauges of a member; its histograms are recorded elsewhere."""
 
 from dataclasses import asdict
 from typing import Protocol
 
-from cassiaturn.fleet._desk import JobDesk
+from cassiaturn.fleet._caller_jobs import CallerJobs
 from cassiaturn.fleet._leader import Leader
-from cassiaturn.fleet._routing import RoutingKeeper
+from cassiaturn.fleet._routing import CurrentRouting
 from cassiaturn.observability import FleetMetrics
 
 
-class Observed(Protocol):
-    """A member, as its metrics see it."""
+class ObservedMember(Protocol):
+    """What the metrics read from a member."""
 
     metrics: FleetMetrics
-    desk: JobDesk
-    routing: RoutingKeeper
+    caller_jobs: CallerJobs
+    routing: CurrentRouting
 
     @property
     def leader(self) -> Leader | None:
-        """Its leadership, if it leads."""
+        """The leader on this member; None if it does not lead."""
 
 
-def observe(member: Observed) -> None:
-    """Show a member's counts and gauges."""
+def register_metrics(member: ObservedMember) -> None:
+    """Register a member's counters and gauges."""
     metrics = member.metrics
     metrics.observe_counts(
         "cassiaturn.leader",
@@ -32,7 +32,7 @@
     metrics.observe_gauge(
         "cassiaturn.open_jobs",
         "Jobs without an answer.",
-        lambda: member.desk.open_jobs,
+        lambda: member.caller_jobs.open_jobs,
     )
     metrics.observe_gauge(
         "cassiaturn.leads", "1 on the leader.", lambda: float(member.leader is not None)
--- /dev/null
+++ b/src/cassiaturn/fleet/_peers.py
@@ -0,0 +1,226 @@
+"""Asks other members about a lost leader, and announces a new one to them.
+
+Load pattern: a fleet of a hundred members loses its leader, and all members notice at
+the same time. If each asked all others, every host would answer a hundred calls while
+the next leader takes over the targets; most calls would time out, and members would
+find the new leader only after most callers have given up. So the members that may claim
+first also ask first, and only a bounded number of others; the rest wait for the new
+leader's announcement.
+"""
+
+import asyncio
+import random
+from collections import OrderedDict
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from cassiaturn.entities import Address
+from cassiaturn.fleet._leader_stream import ask_peer
+from cassiaturn.fleet._leadership import NO_TOKEN, Leadership, Look, LookFailure
+from cassiaturn.fleet._roster import Roster
+from cassiaturn.settings import FleetSettings
+
+MAX_KNOWN_ADDRESSES = 64
+"""Addresses of past followers to remember: several times those of a small site."""
+
+EARLIER_ASKED_AT_ONCE = 12
+"""Members asked at once of those that claim before this one: more than a site of a
+hundred members has hosts with high link bandwidth."""
+
+LATER_ASKED = 12
+"""Members asked of those that claim after this one: enough to tell the larger side of a
+network partition, and whether any member still hears the leader."""
+
+EARLY_CLAIMANTS = 8
+"""Members that ask at once, of the whole fleet, in claim order."""
+
+EARLY_CLAIMANTS_PER_DOMAIN = 2
+"""Members that ask at once in each failure domain: a domain that is partitioned from
+the rest needs a leader, too."""
+
+
+class ClaimRank(NamedTuple):
+    """A member's rank in the order in which members claim; the lowest claims first.
+
+    The members with the most link bandwidth come first. A leader sends the orders for
+    all callers: a thousand jobs a second take 3 MB a second, twice what a link of 12.5
+    Mbit/s carries, and orders delayed by a full link time out as long as that member
+    leads.
+    """
+
+    negative_link_mbps: float
+    """Bandwidth of its host's link, in megabits per second, negated."""
+
+    address: str
+    """Its address for other members, ``host:port``."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class PeerSurvey:
+    """What the other members answered about the leader."""
+
+    looks: Sequence[Look]
+    """Answers of the members other than the lost leader."""
+
+    leader_answers: bool
+    """Whether the lost leader itself answers that it still leads."""
+
+    asked: int
+    """Number of members that were asked."""
+
+    members_before: int
+    """Number of members that answered and precede this one in claim order."""
+
+    wider_is_silent: bool
+    """Whether a member with more link bandwidth did not answer in time."""
+
+
+class Peers:
+    """The other members that this one can ask, or announce a leadership to."""
+
+    def __init__(self, *, settings: FleetSettings, roster: Roster) -> None:
+        """Start with the seeds from the settings and the members in the roster.
+
+        :param roster: the leader's list of members, updated elsewhere.
+        """
+        self.last_leader_address = ""
+        """Address of the leader that this member last followed; empty if none."""
+
+        self.reachable_members = 0
+        """Estimated number of members that this one reaches, by the last answers."""
+
+        self._known_addresses: OrderedDict[str, None] = OrderedDict()
+        self._own_rank = ClaimRank(-settings.link_mbps, str(settings.members))
+        self._failure_domain = settings.failure_domain
+        self._seeds = frozenset(str(seed) for seed in settings.seeds)
+        self._roster = roster
+
+    @property
+    def claims_early(self) -> bool:
+        """Whether this member is among the first that ask their peers and claim."""
+        before = [
+            member
+            for member in self._roster.members
+            if self._rank(member.address, member.link_mbps) < self._own_rank
+        ]
+        in_domain = [
+            member for member in before if member.failure_domain == self._failure_domain
+        ]
+        return (
+            len(before) < EARLY_CLAIMANTS or len(in_domain) < EARLY_CLAIMANTS_PER_DOMAIN
+        )
+
+    def note_address(self, address: str) -> None:
+        """Remember a member's address, also for when it is no longer reachable."""
+        self._known_addresses[address] = None
+        self._known_addresses.move_to_end(address)
+        if len(self._known_addresses) > MAX_KNOWN_ADDRESSES:
+            self._known_addresses.popitem(last=False)
+
+    async def look(self, lost: Leadership | None) -> PeerSurvey:
+        """Ask other members, and the lost leader, about the leadership.
+
+        :param lost: the leader that was lost; None if there was none.
+        """
+        ranks = self._ranks(without=lost.address if lost is not None else "")
+        before = [rank.address for rank in ranks if rank < self._own_rank]
+        after = [rank.address for rank in ranks if rank > self._own_rank]
+        others = random.sample(after, min(LATER_ASKED, len(after)))
+        token = lost.token if lost is not None else NO_TOKEN
+        looks_by_address, lost_answer = await asyncio.gather(
+            _ask_all([*before[:EARLIER_ASKED_AT_ONCE], *others], token),
+            self._ask_lost_leader(lost),
+        )
+        # If the first ones are gone, exactly one of the later members must claim.
+        asked = EARLIER_ASKED_AT_ONCE
+        while asked < len(before) and not self._count_before(looks_by_address):
+            wave = before[asked : asked + EARLIER_ASKED_AT_ONCE]
+            looks_by_address |= await _ask_all(wave, token)
+            asked += EARLIER_ASKED_AT_ONCE
+        answers = [look for look in looks_by_address.values() if isinstance(look, Look)]
+        share = len(answers) / max(1, len(looks_by_address))
+        self.reachable_members = round(share * len(ranks))
+        return PeerSurvey(
+            looks=answers,
+            leader_answers=_still_leads(lost_answer, lost),
+            asked=len(looks_by_address),
+            members_before=self._count_before(looks_by_address),
+            wider_is_silent=self._is_wider_silent(looks_by_address),
+        )
+
+    def _count_before(self, looks_by_address: Mapping[str, Look | LookFailure]) -> int:
+        return sum(
+            isinstance(look, Look)
+            and self._rank(address, look.link_mbps) < self._own_rank
+            for address, look in looks_by_address.items()
+        )
+
+    def _is_wider_silent(
+        self, looks_by_address: Mapping[str, Look | LookFailure]
+    ) -> bool:
+        return any(
+            looks_by_address.get(member.address) is LookFailure.SILENT
+            and -member.link_mbps < self._own_rank.negative_link_mbps
+            for member in self._roster.members
+        )
+
+    async def _ask_lost_leader(self, lost: Leadership | None) -> Look | LookFailure:
+        if lost is None or lost.address == self._own_rank.address:
+            return LookFailure.REFUSED
+        return await ask_peer(to_address(lost.address), lost.token)
+
+    async def announce(self, leadership: Leadership) -> Sequence[Look]:
+        """Announce a leadership to every known member; returns their answers."""
+        addresses = {rank.address for rank in self._ranks(without="")}
+        addresses |= self._known_addresses.keys()
+        looks = await asyncio.gather(
+            *(
+                ask_peer(to_address(address), leadership.token, announced=leadership)
+                for address in sorted(addresses - {self._own_rank.address})
+            )
+        )
+        return [look for look in looks if isinstance(look, Look)]
+
+    def _ranks(self, *, without: str) -> Sequence[ClaimRank]:
+        """Return the ranks of the other members in claim order.
+
+        The bandwidth of seeds and of the last leader may be unknown; then they come
+        last.
+        """
+        links_by_address = dict.fromkeys(self._seeds | {self.last_leader_address}, 0.0)
+        links_by_address |= {
+            member.address: member.link_mbps for member in self._roster.members
+        }
+        for address in ("", self._own_rank.address, without):
+            links_by_address.pop(address, None)
+        return sorted(
+            self._rank(address, link_mbps)
+            for address, link_mbps in links_by_address.items()
+        )
+
+    @staticmethod
+    def _rank(address: str, link_mbps: float) -> ClaimRank:
+        return ClaimRank(-link_mbps, address)
+
+
+async def _ask_all(
+    addresses: Sequence[str], token: int
+) -> dict[str, Look | LookFailure]:
+    looks = await asyncio.gather(
+        *(ask_peer(to_address(address), token) for address in addresses)
+    )
+    return dict(zip(addresses, looks, strict=True))
+
+
+def _still_leads(lost_answer: Look | LookFailure, lost: Leadership | None) -> bool:
+    """Return whether the lost leader answers that it still leads."""
+    if not isinstance(lost_answer, Look) or lost_answer.highest is None or lost is None:
+        return False
+    return lost_answer.hears_leader and lost_answer.highest.member_id == lost.member_id
+
+
+def to_address(text: str) -> Address:
+    """Parse an address from ``host:port``."""
+    host, _, port = text.rpartition(":")
+    return Address(host=host, port=int(port))
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -7,11 +7,11 @@
 import asyncio
 from typing import Protocol
 
-from cassiaturn.fleet._follow import look_at
 from cassiaturn.fleet._leader import Leader
 from cassiaturn.fleet._leader_row import ROW_RENEW_PERIOD_S, LeaderRow
+from cassiaturn.fleet._leader_stream import ask_peer
 from cassiaturn.fleet._leadership import Leadership, Look
-from cassiaturn.fleet._neighbours import Neighbours, to_address
+from cassiaturn.fleet._peers import Peers, to_address
 from cassiaturn.fleet._service import FleetService
 from cassiaturn.fleet._superseded_signal import SupersededSignal
 from cassiaturn.observability import Event, log_event
@@ -28,7 +28,7 @@
 class TermMember(Protocol):
     """The leading member, as its term uses it."""
 
-    known: Leadership | None
+    known_leadership: Leadership | None
     """The latest leadership that it knows of."""
 
     service: FleetService
@@ -41,7 +41,7 @@
         :param terms: by how many terms to advance.
         """
 
-    def hear_of(self, leadership: Leadership) -> None:
+    def note_reachable_leader(self, leadership: Leadership) -> None:
         """Record the leadership of a member that can be reached."""
 
 
@@ -54,7 +54,7 @@
         leader: Leader,
         member: TermMember,
         row: LeaderRow,
-        neighbours: Neighbours,
+        peers: Peers,
         superseded_signal: SupersededSignal,
     ) -> None:
         """Prepare a claimed term; :meth:`run` maintains it.
@@ -64,7 +64,7 @@
         self._leader = leader
         self._member = member
         self._row = row
-        self._neighbours = neighbours
+        self._peers = peers
         self._superseded_signal = superseded_signal
         self._silent_members = 0
 
@@ -92,9 +92,12 @@
         checks = 0
         while True:
             leadership = self._leader.leadership
-            known = self._member.known
-            if known is not None and known.token > leadership.token:
-                return known
+            known_leadership = self._member.known_leadership
+            if (
+                known_leadership is not None
+                and known_leadership.token > leadership.token
+            ):
+                return known_leadership
             holder = await self._row.renew(leadership)
             # A later leader that cannot be reached is on the other side of a network
             # partition. It serves that side, and this member goes on to serve this one.
@@ -148,7 +151,7 @@
             self._continue_as(self._member.next_leadership(reach=remaining))
 
     def _continue_as(self, claim: Leadership) -> None:
-        self._member.known = claim
+        self._member.known_leadership = claim
         self._leader.raise_token(claim)
         self._member.service.send_leadership(claim)
         log_event(Event.LEADER_ELECTED, token=claim.token, term=claim.term, raised=True)
@@ -158,13 +161,13 @@
 
         :returns: whether one of them knows a later leader.
         """
-        looks = await self._neighbours.announce(leadership)
+        looks = await self._peers.announce(leadership)
         later = [look.highest for look in looks if look.highest is not None]
         later = [known for known in later if known.token > leadership.token]
         for known in later:
-            self._member.hear_of(known)
+            self._member.note_reachable_leader(known)
         return bool(later)
 
     async def _is_reachable(self, leadership: Leadership) -> bool:
-        look = await look_at(to_address(leadership.address), leadership.token)
+        look = await ask_peer(to_address(leadership.address), leadership.token)
         return isinstance(look, Look) and look.highest is not None
