--- a/src/cassiaturn/bench/_instance.py
+++ b/src/cassiaturn/bench/_instance.py
@@ -18,10 +18,10 @@
 from cassiaturn.policy import (
     Admission,
     FairQueue,
-    FirstRun,
     LoadView,
     PeerRow,
     Placement,
+    PreviousRun,
     QueuedTask,
     Refuse,
     Retry,
@@ -144,7 +144,7 @@
         """Take in that a target had no slot."""
         self._forget_running(held, 0.0)
         if held.home is self and held.start.run.outcome is None:
-            self._try_again(held, FirstRun.NEVER_BEGUN)
+            self._try_again(held, PreviousRun.NEVER_BEGUN)
         else:
             self._queue_again(held)
         self._dispatch()
@@ -221,7 +221,7 @@
                 return task.may_use_spare and not might_use_spare
             if self._queue.pop(now=now) is not task:
                 raise AssertionError(f"{task.key} was next and is no longer")
-            peer.send()
+            peer.count_send()
             held = self._held_by_key.pop(task.key)
             held.holder = other = self.links.instance(peer.instance_id)
             self._send(MessageKind.FORWARD, other, other._on_spilled, held)
@@ -263,24 +263,24 @@
         if run.outcome is not None:
             return
         if not succeeded:
-            self._try_again(held, FirstRun.OVER)
+            self._try_again(held, PreviousRun.OVER)
             return
         self._retries.succeeded(self._world.loop.now)
         if self._world.has_result(held.start, run_s):
             self._held_by_job.pop(submission_id, None)
             self._queue.forget_job(submission_id)
 
-    def _try_again(self, held: Held, first_run: FirstRun) -> None:
+    def _try_again(self, held: Held, previous_run: PreviousRun) -> None:
         task = held.task
         run = held.start.run
         task.attempt += 1
         decision = self._retries.decide(
             attempt=task.attempt,
             repeatable=task.repeatable,
-            first_run=first_run,
+            previous_run=previous_run,
             now=self._world.loop.now,
         )
-        is_allowed = self._modules.retries or first_run is FirstRun.NEVER_BEGUN
+        is_allowed = self._modules.retries or previous_run is PreviousRun.NEVER_BEGUN
         if not isinstance(decision, Retry) or not is_allowed:
             self._world.answer(run, Outcome.FAILED)
             self.withdraw(run)
--- a/src/cassiaturn/bench/_links.py
+++ b/src/cassiaturn/bench/_links.py
@@ -7,7 +7,7 @@
 from cassiaturn.bench._message import MessageKind
 from cassiaturn.bench._world import World
 from cassiaturn.membership import MembershipSettings, links_of
-from cassiaturn.policy import PeerRow, RoomNotices
+from cassiaturn.policy import FreeSlotNotices, PeerRow
 
 if TYPE_CHECKING:
     from cassiaturn.bench._instance import Instance
@@ -28,7 +28,7 @@
         self._instances_by_id: dict[str, Instance] = {}
         self._sent_at_by_peer: dict[str, float] = {}
         self._neighbours: Collection[str] = ()
-        self._notices = RoomNotices(failure_domain=failure_domain)
+        self._notices = FreeSlotNotices(failure_domain=failure_domain)
 
     def add(self, other: "Instance") -> None:
         """Learn of another instance, idle as far as is known."""
@@ -102,7 +102,7 @@
     ) -> None:
         """Send a message with a report of our load on it."""
         self._sent_at_by_peer[peer.instance_id] = self._world.loop.now
-        self._notices.told(peer.instance_id, report.free_slots)
+        self._notices.record_sent(peer.instance_id, report.free_slots)
         self._world.send(
             kind,
             self._failure_domain,
@@ -118,7 +118,7 @@
         self, sender: str, report: Report, callback: Callable[..., None], *args: Any
     ) -> None:
         """Take in a message from a peer."""
-        self.rows_by_id[sender].report(
+        self.rows_by_id[sender].apply_report(
             free_slots=report.free_slots,
             queued=report.queued,
             expected_wait_s=report.expected_wait_s,
--- a/src/cassiaturn/engine/_dispatch.py
+++ b/src/cassiaturn/engine/_dispatch.py
@@ -13,7 +13,7 @@
     PeerRow,
     QueuedTask,
     TargetRow,
-    choose_successor,
+    choose_handover_peer,
     choose_target,
 )
 from cassiaturn.v1 import runner_pb2
@@ -165,7 +165,7 @@
         if _is_own(state, task):
             peer = state.placement.choose_peer(task, own_wait_s, peers, now)
             if peer is None and state.usable_slots() == 0:
-                peer = choose_successor(peers)
+                peer = choose_handover_peer(peers)
         else:
             task.may_use_spare = True
         if peer is None:
@@ -186,7 +186,7 @@
     record.state = TaskState.SPILLED
     record.peer = peer.incarnation
     _note_sent(state, record, now, within_s)
-    peer.send()
+    peer.count_send()
     state.counters.spills += 1
     job = state.jobs_by_id[record.key.submission_id]
     state.ports.spill(record, within_s=within_s, job_remaining=job.remaining)
--- a/src/cassiaturn/engine/_results.py
+++ b/src/cassiaturn/engine/_results.py
@@ -8,7 +8,7 @@
 from cassiaturn.engine._state import State
 from cassiaturn.engine._tables import Job, TaskRecord, TaskState
 from cassiaturn.entities import Reason, TaskKey
-from cassiaturn.policy import FirstRun, Retry, failure_pause_s
+from cassiaturn.policy import PreviousRun, Retry, failure_pause_s
 from cassiaturn.v1 import peer_pb2
 from cassiaturn.v1 import runner_pb2 as pb
 
@@ -91,7 +91,7 @@
         settle_incomplete(state, job, Reason.TARGET_LOST, detail, now, maybe=(record,))
         return
     state.submissions.refused(job.submission_id)
-    _try_again(state, record, FirstRun.NEVER_BEGUN, Reason.NO_TARGET, now)
+    _try_again(state, record, PreviousRun.NEVER_BEGUN, Reason.NO_TARGET, now)
 
 
 def on_spill_outcome(
@@ -172,7 +172,7 @@
     if job is None:
         return
     if record.method.repeatable:
-        _try_again(state, record, FirstRun.OVER, Reason.TARGET_LOST, now)
+        _try_again(state, record, PreviousRun.OVER, Reason.TARGET_LOST, now)
         return
     _close(state, record)
     detail = f"the target of task {record.key.task_index} was lost"
@@ -227,7 +227,7 @@
         _complete_task(state, job, record, result.result, now)
         return
     if record.method.repeatable:
-        _try_again(state, record, FirstRun.OVER, Reason.TASK_FAILED, now)
+        _try_again(state, record, PreviousRun.OVER, Reason.TASK_FAILED, now)
         return
     _close(state, record)
     detail = f"task {record.key.task_index} failed: {result.detail}"
@@ -253,13 +253,17 @@
 
 
 def _try_again(
-    state: State, record: TaskRecord, first_run: FirstRun, reason: Reason, now: float
+    state: State,
+    record: TaskRecord,
+    previous_run: PreviousRun,
+    reason: Reason,
+    now: float,
 ) -> None:
     record.target_id = ""
     record.peer = ""
     # Refused starts are paced by their own count: three busy targets must not
     # use up the attempts of a task that never ran.
-    if first_run is FirstRun.NEVER_BEGUN:
+    if previous_run is PreviousRun.NEVER_BEGUN:
         record.refusals += 1
         attempt = record.refusals
     else:
@@ -267,7 +271,7 @@
     decision = state.retries.decide(
         attempt=attempt,
         repeatable=record.method.repeatable,
-        first_run=first_run,
+        previous_run=previous_run,
         now=now,
     )
     job = state.jobs_by_id[record.key.submission_id]
--- a/src/cassiaturn/engine/tests/virtual_fleet.py
+++ b/src/cassiaturn/engine/tests/virtual_fleet.py
@@ -379,7 +379,7 @@
             row = peer.peers_by_incarnation.get(me)
             if other == me or row is None or frozenset((me, other)) in self._cut:
                 continue
-            row.report(
+            row.apply_report(
                 free_slots=state.free_slots(),
                 queued=len(state.queue),
                 expected_wait_s=0.0,
--- a/src/cassiaturn/policy/__init__.py
+++ b/src/cassiaturn/policy/__init__.py
@@ -3,14 +3,14 @@
 from cassiaturn.policy._admission import Admission, Admit, Refuse
 from cassiaturn.policy._failure_pause import failure_pause_s
 from cassiaturn.policy._fair_queue import FairQueue
-from cassiaturn.policy._handover import choose_successor
+from cassiaturn.policy._handover import choose_handover_peer
 from cassiaturn.policy._health import HealthChange, TargetHealth
 from cassiaturn.policy._load import AdmissionRequest, LoadView
-from cassiaturn.policy._notices import RoomNotices
+from cassiaturn.policy._notices import FreeSlotNotices
 from cassiaturn.policy._placement import PeerRow, Placement
 from cassiaturn.policy._queued_task import QueuedTask
 from cassiaturn.policy._quota import next_quota_part, split_quota
-from cassiaturn.policy._retries import FirstRun, GiveUp, Retry, RetryBudget
+from cassiaturn.policy._retries import GiveUp, PreviousRun, Retry, RetryBudget
 from cassiaturn.policy._settings import (
     AdmissionSettings,
     HealthSettings,
@@ -28,7 +28,7 @@
     "AdmissionSettings",
     "Admit",
     "FairQueue",
-    "FirstRun",
+    "PreviousRun",
     "GiveUp",
     "HealthChange",
     "HealthSettings",
@@ -44,10 +44,10 @@
     "Retry",
     "RetryBudget",
     "RetrySettings",
-    "RoomNotices",
+    "FreeSlotNotices",
     "TargetHealth",
     "TargetRow",
-    "choose_successor",
+    "choose_handover_peer",
     "choose_target",
     "failure_pause_s",
     "next_quota_part",
--- a/src/cassiaturn/policy/_handover.py
+++ b/src/cassiaturn/policy/_handover.py
@@ -15,7 +15,7 @@
 from cassiaturn.policy._placement import PeerRow
 
 
-def choose_successor(peers: Sequence[PeerRow]) -> PeerRow | None:
+def choose_handover_peer(peers: Sequence[PeerRow]) -> PeerRow | None:
     """Return the peer where a task waits the least, or None without any ready.
 
     :param peers: all known peers.
--- a/src/cassiaturn/policy/_notices.py
+++ b/src/cassiaturn/policy/_notices.py
@@ -31,7 +31,7 @@
     """When it last got a frame for this alone, in seconds."""
 
 
-class RoomNotices:
+class FreeSlotNotices:
     """Remembers what each peer was told and says whom to tell more."""
 
     def __init__(self, *, failure_domain: str) -> None:
@@ -42,7 +42,7 @@
         self._failure_domain = failure_domain
         self._told_by_peer: dict[str, Told] = {}
 
-    def told(self, incarnation: str, free_slots: int) -> None:
+    def record_sent(self, incarnation: str, free_slots: int) -> None:
         """Note what a frame to a peer said."""
         told = self._told_by_peer.setdefault(incarnation, Told())
         told.free_slots = free_slots
--- a/src/cassiaturn/policy/_placement.py
+++ b/src/cassiaturn/policy/_placement.py
@@ -64,7 +64,7 @@
     claimed: int = 0
     """Our sends since its last report."""
 
-    def report(
+    def apply_report(
         self, *, free_slots: int, queued: int, expected_wait_s: float, now: float
     ) -> None:
         """Take in a report, which overrules what was believed."""
@@ -74,7 +74,7 @@
         self.reported_at = now
         self.claimed = 0
 
-    def send(self) -> None:
+    def count_send(self) -> None:
         """Count a task as sent to it."""
         self.free_slots -= 1
         self.claimed += 1
--- a/src/cassiaturn/policy/_retries.py
+++ b/src/cassiaturn/policy/_retries.py
@@ -21,7 +21,7 @@
 _MAX_DOUBLINGS = 16
 
 
-class FirstRun(Enum):
+class PreviousRun(Enum):
     """What is known of the start that came to nothing."""
 
     NEVER_BEGUN = auto()
@@ -78,24 +78,24 @@
         self._settings = settings
 
     def decide(
-        self, *, attempt: int, repeatable: bool, first_run: FirstRun, now: float
+        self, *, attempt: int, repeatable: bool, previous_run: PreviousRun, now: float
     ) -> Retry | GiveUp:
         """Decide on a task whose start came to nothing.
 
         :param attempt: earlier starts of the task, this one included.
         :param repeatable: whether it may run again once a run is over.
-        :param first_run: what is known of this start.
+        :param previous_run: what is known of this start.
         :param now: present time, in seconds.
         """
         settings = self._settings
-        if first_run is FirstRun.NEVER_BEGUN:
+        if previous_run is PreviousRun.NEVER_BEGUN:
             if attempt >= settings.max_refused:
                 return GiveUp(reason=Reason.NO_TARGET)
             return Retry(delay_s=self._delay(attempt))
         # A second start beside a run that may still be going would run the task
         # twice, and its caller would see an order doubled. Being repeatable does
         # not help: it only permits runs one after another.
-        if first_run is FirstRun.UNKNOWN:
+        if previous_run is PreviousRun.UNKNOWN:
             return GiveUp(reason=Reason.TARGET_LOST)
         if not repeatable or attempt >= settings.max_attempts:
             return GiveUp(reason=Reason.TASK_FAILED)
--- a/src/cassiaturn/policy/tests/test_notices.py
+++ b/src/cassiaturn/policy/tests/test_notices.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cassiaturn.policy import PeerRow, RoomNotices
+from cassiaturn.policy import FreeSlotNotices, PeerRow
 
 NOW = 100.0
 
@@ -28,18 +28,18 @@
 def test_a_notice_that_nobody_can_use_is_not_sent(
     free_slots: int, queued: int, peer_queued: int, told: int
 ) -> None:
-    notices = RoomNotices(failure_domain="osu")
-    notices.told("a", told)
+    notices = FreeSlotNotices(failure_domain="osu")
+    notices.record_sent("a", told)
     peers = [peer("a", queued=peer_queued)]
     due = notices.due(free_slots=free_slots, queued=queued, peers=peers, now=NOW)
     assert not due
 
 
 def test_near_peers_are_told_first_and_not_again_at_once() -> None:
-    notices = RoomNotices(failure_domain="osu")
+    notices = FreeSlotNotices(failure_domain="osu")
     peers = [peer("far", domain="tema"), peer("near")]
     for name in ("far", "near"):
-        notices.told(name, 0)
+        notices.record_sent(name, 0)
     assert notices.due(free_slots=3, queued=0, peers=peers, now=NOW) == ["near"]
     assert notices.due(free_slots=6, queued=0, peers=peers, now=NOW) == ["far"]
     assert notices.due(free_slots=6, queued=0, peers=peers, now=NOW + 0.5) == []
--- a/src/cassiaturn/policy/tests/test_placement.py
+++ b/src/cassiaturn/policy/tests/test_placement.py
@@ -168,10 +168,10 @@
     peer = make_peer(free_slots=8)
     sent = 0
     while choose([peer]) is not None:
-        peer.send()
+        peer.count_send()
         sent += 1
     assert 1 <= sent <= 4
-    peer.report(free_slots=8, queued=0, expected_wait_s=0.0, now=0.1)
+    peer.apply_report(free_slots=8, queued=0, expected_wait_s=0.0, now=0.1)
     assert choose([peer]) == "i0"
 
 
--- a/src/cassiaturn/policy/tests/test_retries.py
+++ b/src/cassiaturn/policy/tests/test_retries.py
@@ -1,30 +1,30 @@
 import pytest
 
 from cassiaturn.entities import Reason
-from cassiaturn.policy import FirstRun, GiveUp, Retry, RetryBudget, RetrySettings
+from cassiaturn.policy import GiveUp, PreviousRun, Retry, RetryBudget, RetrySettings
 
 SETTINGS = RetrySettings()
 
 
 @pytest.mark.parametrize(
-    ("attempt", "repeatable", "first_run", "given_up"),
+    ("attempt", "repeatable", "previous_run", "given_up"),
     [
-        (1, True, FirstRun.OVER, None),
-        (1, False, FirstRun.OVER, Reason.TASK_FAILED),
-        (SETTINGS.max_attempts, True, FirstRun.OVER, Reason.TASK_FAILED),
-        (1, True, FirstRun.UNKNOWN, Reason.TARGET_LOST),
-        (1, False, FirstRun.UNKNOWN, Reason.TARGET_LOST),
-        (1, False, FirstRun.NEVER_BEGUN, None),
-        (SETTINGS.max_attempts + 1, False, FirstRun.NEVER_BEGUN, None),
-        (SETTINGS.max_refused, True, FirstRun.NEVER_BEGUN, Reason.NO_TARGET),
+        (1, True, PreviousRun.OVER, None),
+        (1, False, PreviousRun.OVER, Reason.TASK_FAILED),
+        (SETTINGS.max_attempts, True, PreviousRun.OVER, Reason.TASK_FAILED),
+        (1, True, PreviousRun.UNKNOWN, Reason.TARGET_LOST),
+        (1, False, PreviousRun.UNKNOWN, Reason.TARGET_LOST),
+        (1, False, PreviousRun.NEVER_BEGUN, None),
+        (SETTINGS.max_attempts + 1, False, PreviousRun.NEVER_BEGUN, None),
+        (SETTINGS.max_refused, True, PreviousRun.NEVER_BEGUN, Reason.NO_TARGET),
     ],
 )
 def test_decisions(
-    attempt: int, repeatable: bool, first_run: FirstRun, given_up: Reason | None
+    attempt: int, repeatable: bool, previous_run: PreviousRun, given_up: Reason | None
 ) -> None:
     budget = RetryBudget(settings=SETTINGS)
     decision = budget.decide(
-        attempt=attempt, repeatable=repeatable, first_run=first_run, now=0.0
+        attempt=attempt, repeatable=repeatable, previous_run=previous_run, now=0.0
     )
     if given_up is None:
         assert isinstance(decision, Retry)
@@ -35,7 +35,9 @@
 
 def fail(budget: RetryBudget, times: int, now: float = 0.0) -> int:
     decisions = [
-        budget.decide(attempt=1, repeatable=True, first_run=FirstRun.OVER, now=now)
+        budget.decide(
+            attempt=1, repeatable=True, previous_run=PreviousRun.OVER, now=now
+        )
         for _ in range(times)
     ]
     return sum(isinstance(decision, Retry) for decision in decisions)
@@ -75,7 +77,7 @@
         decision = budget.decide(
             attempt=attempt,
             repeatable=False,
-            first_run=FirstRun.NEVER_BEGUN,
+            previous_run=PreviousRun.NEVER_BEGUN,
             now=0.0,
         )
         assert isinstance(decision, Retry)
--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -25,7 +25,7 @@
     links_of,
 )
 from cassiaturn.observability import Direction, Event, Metrics, WastedMessage, log_event
-from cassiaturn.policy import PeerRow, RoomNotices
+from cassiaturn.policy import FreeSlotNotices, PeerRow
 from cassiaturn.server._forwards import Forwards
 from cassiaturn.server._link import FrameStream, Link, LinkDialer
 from cassiaturn.submission import booted_ms, instance_of
@@ -67,7 +67,9 @@
         self._addresses_by_instance = dict(addresses_by_instance)
         self.links_by_incarnation = links_by_incarnation
         self._metrics = metrics
-        self._notices = RoomNotices(failure_domain=membership.me.facts.failure_domain)
+        self._notices = FreeSlotNotices(
+            failure_domain=membership.me.facts.failure_domain
+        )
         self._describe = describe
         self._on_change = on_change
         self._connect_timeout_s = connect_timeout_s
@@ -337,7 +339,7 @@
             resend(self._state, facts.incarnation)
         row.slots = facts.slots
         row.ready = facts.state is MemberState.READY
-        row.report(
+        row.apply_report(
             free_slots=facts.free_slots,
             queued=facts.queued,
             expected_wait_s=facts.expected_wait_ms / MILLISECONDS,
@@ -360,7 +362,7 @@
         if not frame.HasField("heartbeat"):
             frame.heartbeat.CopyFrom(self._heartbeat(full=False))
         self._membership.sent(instance_of(link.incarnation) or "", now)
-        self._notices.told(link.incarnation, frame.heartbeat.free_slots)
+        self._notices.record_sent(link.incarnation, frame.heartbeat.free_slots)
         self._count(frame, Direction.SENT)
 
     def _heartbeat(self, *, full: bool) -> peer_pb2.Heartbeat:
