--- a/src/cassiaturn/policy/__init__.py
+++ b/src/cassiaturn/policy/__init__.py
@@ -1,4 +1,7 @@
-"""Decisions under load, as pure modules: no network, no clock, no process."""
+"""Scheduling decisions under load.
+
+The modules are pure: they use no network, no clock and no process.
+"""
 
 from cassiaturn.policy._admission import Admission, Admit, Refuse
 from cassiaturn.policy._failure_pause import failure_pause_s
--- a/src/cassiaturn/policy/_admission.py
+++ b/src/cassiaturn/policy/_admission.py
@@ -1,10 +1,11 @@
-"""Refusal at the door, before anything starts.
+"""Admission control: refuses submissions that cannot be served in time.
 
-Load pattern: more work arrives than the slots can do before its deadlines.
-Without refusal every queue grows until everything is answered too late, and
-the work done on late tasks is lost (goodput collapse). A bound on length alone
-does not help: 1,000 tasks are 0.3 s of work for one method and 300 s for
-another, so the bound is on expected waiting time.
+Load pattern: more work arrives than the slots can finish before its deadlines.
+Without admission control every queue grows until all answers are late, and the
+work done on late tasks is lost (goodput collapse).
+
+Grounds: a bound on queue length does not help, because 1,000 tasks are 0.3 s of
+work for one method and 300 s for another. The bound is on expected waiting time.
 """
 
 import math
@@ -34,47 +35,47 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refuse:
-    """The submission is refused; nothing of it has started or will."""
+    """The submission is refused; none of its tasks has started or will start."""
 
     reason: Reason
-    """Why."""
+    """Cause of the refusal."""
 
     retry_after_s: float
-    """When to come back, in seconds; 0: coming back does not help."""
+    """Delay before a retry, in seconds; 0: a retry cannot succeed."""
 
     detail: str
-    """One sentence for people."""
+    """Human-readable explanation, in one sentence."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Problem:
     reason: Reason
     excess_s: float
-    """How long until the limit is met again, in seconds."""
+    """Time until the limit is expected to be met, in seconds; 0: never."""
 
     detail: str
 
 
-Rule: TypeAlias = Callable[
+Check: TypeAlias = Callable[
     [AdmissionRequest, Estimate, AdmissionSettings, float], _Problem | None
 ]
 
-_rules: list[Rule] = []
-"""Grounds for a refusal, in the order in which they are tried."""
+_checks: list[Check] = []
+"""Checks that may refuse a submission, in the order in which they run."""
 
 
-def _rule(check: Rule) -> Rule:
-    """Register a ground for refusal."""
-    _rules.append(check)
+def _check(check: Check) -> Check:
+    """Register a check that may refuse a submission."""
+    _checks.append(check)
     return check
 
 
-@_rule
-def _no_slots(
+@_check
+def _has_no_slots(
     request: AdmissionRequest,
     estimate: Estimate,
     settings: AdmissionSettings,
-    scale: float,
+    limit_scale: float,
 ) -> _Problem | None:
     if not math.isinf(estimate.wait_s):
         return None
@@ -85,12 +86,12 @@
     )
 
 
-@_rule
-def _too_large(
+@_check
+def _exceeds_deadline_when_idle(
     request: AdmissionRequest,
     estimate: Estimate,
     settings: AdmissionSettings,
-    scale: float,
+    limit_scale: float,
 ) -> _Problem | None:
     if estimate.idle_job_s <= request.deadline_in_s:
         return None
@@ -101,14 +102,14 @@
     return _Problem(reason=Reason.DEADLINE, excess_s=0.0, detail=detail)
 
 
-@_rule
-def _too_late(
+@_check
+def _exceeds_deadline(
     request: AdmissionRequest,
     estimate: Estimate,
     settings: AdmissionSettings,
-    scale: float,
+    limit_scale: float,
 ) -> _Problem | None:
-    limit_s = request.deadline_in_s * settings.safety * scale
+    limit_s = request.deadline_in_s * settings.safety * limit_scale
     excess_s = estimate.wait_s + estimate.job_s - limit_s
     is_idle = estimate.wait_s == 0.0 and estimate.job_s == estimate.idle_job_s
     if excess_s <= 0.0 or is_idle:
@@ -117,30 +118,30 @@
         f"expected answer in {estimate.wait_s + estimate.job_s:.2f} s,"
         f" the deadline is in {request.deadline_in_s:.2f} s"
     )
-    return _Problem(reason=_blame(estimate), excess_s=excess_s, detail=detail)
+    return _Problem(reason=_limit_reason(estimate), excess_s=excess_s, detail=detail)
 
 
-@_rule
-def _too_long(
+@_check
+def _exceeds_max_wait(
     request: AdmissionRequest,
     estimate: Estimate,
     settings: AdmissionSettings,
-    scale: float,
+    limit_scale: float,
 ) -> _Problem | None:
-    limit_s = settings.max_wait_s_by_class[request.request_class] * scale
+    limit_s = settings.max_wait_s_by_class[request.request_class] * limit_scale
     excess_s = estimate.wait_s - limit_s
     if excess_s <= 0.0:
         return None
     detail = f"expected wait {estimate.wait_s:.2f} s, {limit_s:.2f} s are allowed"
-    return _Problem(reason=_blame(estimate), excess_s=excess_s, detail=detail)
+    return _Problem(reason=_limit_reason(estimate), excess_s=excess_s, detail=detail)
 
 
-def _blame(estimate: Estimate) -> Reason:
+def _limit_reason(estimate: Estimate) -> Reason:
     return Reason.QUOTA if estimate.is_over_quota else Reason.OVERLOAD
 
 
 class Admission:
-    """Decides on each submission of an instance, and learns run times."""
+    """Admits or refuses the submissions of an instance and learns run times."""
 
     def __init__(self, *, settings: AdmissionSettings) -> None:
         self._settings = settings
@@ -149,33 +150,38 @@
         self._refusing: set[tuple[str, RequestClass]] = set()
 
     def reconfigure(self, settings: AdmissionSettings) -> None:
-        """Put other tunables in force; what was learned is kept."""
+        """Replace the settings; learned run times are kept."""
         self._settings = settings
 
     def decide(self, request: AdmissionRequest, load: LoadView) -> Admit | Refuse:
-        """Admit a submission or refuse it, at once.
+        """Admit or refuse a submission.
 
         :param request: the submission.
-        :param load: the instance's load.
+        :param load: present load of the instance.
         """
         settings = self._settings
         used = self._rates.used_slots(request.request_class, load.now)
         estimate = estimate_of(request, load, used, settings)
-        gate = (request.tenant, request.request_class)
-        scale = settings.resume if gate in self._refusing else 1.0
-        for rule in _rules:
-            problem = rule(request, estimate, settings, scale)
+        limit_key = (request.tenant, request.request_class)
+        limit_scale = settings.resume if limit_key in self._refusing else 1.0
+        for check in _checks:
+            problem = check(request, estimate, settings, limit_scale)
             if problem is not None:
                 if problem.excess_s > 0.0:
-                    self._refusing.add(gate)
+                    self._refusing.add(limit_key)
                 return self._refusal(request, problem)
-        self._refusing.discard(gate)
+        self._refusing.discard(limit_key)
         return Admit(expected_wait_s=estimate.wait_s)
 
     def observe_run(
         self, method: str, request_class: RequestClass, run_s: float
     ) -> None:
-        """Learn from the observed run time of a task, in seconds."""
+        """Learn from a finished task.
+
+        :param method: full method name.
+        :param request_class: class of the task.
+        :param run_s: observed run time, in seconds.
+        """
         self._run_times.observe(method, request_class, run_s)
         self._rates.observe(request_class, run_s)
 
@@ -200,12 +206,12 @@
         )
 
     def _retry_after(self, submission_id: str, excess_s: float) -> float:
-        # Callers refused in one moment would come back in one moment, and all
-        # but the first be refused again. The hash puts each in its own place of
+        # Callers that are refused at the same time would retry at the same time,
+        # and all but the first would be refused again. The hash spreads them over
         # an interval as long as the backlog takes to drain.
         settings = self._settings
         start_s = min(
             max(excess_s, settings.min_retry_after_s), settings.max_retry_after_s
         )
-        place = xxhash.xxh3_64_intdigest(submission_id.encode()) / _HASH_RANGE
-        return start_s * (1.0 + settings.spread * place)
+        position = xxhash.xxh3_64_intdigest(submission_id.encode()) / _HASH_RANGE
+        return start_s * (1.0 + settings.spread * position)
--- a/src/cassiaturn/policy/_estimate.py
+++ b/src/cassiaturn/policy/_estimate.py
@@ -1,8 +1,9 @@
-"""How long a submission would wait and run.
+"""Estimates how long a submission would wait and run.
 
-Grounds: the wait is Little's law over observed run times (queued work over the
-slots that higher classes leave), capped by the tenant's own backlog over its
-quota, since fair order lets no tenant wait behind another's excess.
+Grounds: the wait follows from Little's law and observed run times: queued work
+divided by the slots that higher classes leave. It is capped by the tenant's own
+backlog divided by its quota, because fair queueing lets no tenant wait behind
+another's excess.
 """
 
 import math
@@ -13,24 +14,25 @@
 from cassiaturn.policy._service_rates import UsedSlots
 from cassiaturn.policy._settings import AdmissionSettings
 
-_LOWEST = max(RequestClass)
+_LOWEST_CLASS = max(RequestClass)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Estimate:
-    """What a submission would meet if it were admitted now."""
+    """Expected wait and run time of a submission if it were admitted now."""
 
     wait_s: float
     """Expected wait of the first task, in seconds."""
 
     job_s: float
-    """Time from the first start to the last end under this load, in seconds."""
+    """Time from the first start to the last end under the present load, in
+    seconds."""
 
     idle_job_s: float
-    """The same on slots that are all free, in seconds."""
+    """The same with all slots free, in seconds."""
 
     is_over_quota: bool
-    """Whether the tenant has more running and queued than its quota serves."""
+    """Whether the tenant has more running and queued tasks than quota slots."""
 
 
 def estimate_of(
@@ -39,12 +41,12 @@
     used: UsedSlots,
     settings: AdmissionSettings,
 ) -> Estimate:
-    """Return the expected wait and length of a submission.
+    """Return the expected wait and run time of a submission.
 
     :param request: the submission.
-    :param load: the instance's load.
-    :param used: slots that its class and higher ones were seen to use.
-    :param settings: the tunables.
+    :param load: present load of the instance.
+    :param used: slots that its class and higher classes were observed to use.
+    :param settings: admission settings.
     """
     slots = load.slots + load.peers_free_slots
     if slots <= 0:
@@ -61,34 +63,45 @@
             idle_job_s=idle_job_s,
             is_over_quota=is_over_quota,
         )
-    least_share = settings.least_share_by_class.get(request.request_class, 1.0)
-    left = max(slots - used.above, least_share * slots)
-    own_slots = quota_slots * left / slots if quota_slots > 0.0 else left
-    wait_s = ahead_s / left
-    own_wait_s = load.tenant_queued * request.expected_run_s / own_slots
+    min_share = settings.least_share_by_class.get(request.request_class, 1.0)
+    available_slots = max(slots - used.by_higher_classes, min_share * slots)
+    tenant_slots = (
+        quota_slots * available_slots / slots if quota_slots > 0.0 else available_slots
+    )
+    wait_s = ahead_s / available_slots
+    tenant_wait_s = load.tenant_queued * request.expected_run_s / tenant_slots
     work_s = request.tasks * request.expected_run_s
-    if quota_slots > 0.0 and own_wait_s + work_s / own_slots < wait_s + work_s / left:
-        wait_s = own_wait_s
-        left_for_job = own_slots
+    if (
+        quota_slots > 0.0
+        and tenant_wait_s + work_s / tenant_slots < wait_s + work_s / available_slots
+    ):
+        wait_s = tenant_wait_s
+        job_slots = tenant_slots
     else:
-        left_for_job = left
-    is_busy = used.above + used.own >= settings.busy_share * load.slots
-    if is_over_quota and is_busy and request.request_class is not _LOWEST:
-        # Small jobs that come later overtake a large one, so that under overload
-        # it gets what they leave or its tenant's share. Counting on all slots
-        # admits jobs that fail half done at their deadlines. The lowest class is
-        # left out: filling whatever is free, it is busy without any overload.
-        left_for_job = max(left - used.own, own_slots)
+        job_slots = available_slots
+    is_busy = (
+        used.by_higher_classes + used.by_own_class >= settings.busy_share * load.slots
+    )
+    if is_over_quota and is_busy and request.request_class is not _LOWEST_CLASS:
+        # Small jobs that arrive later overtake a large one, so under overload it
+        # gets only the slots that they leave or its tenant's share. Counting on
+        # all slots would admit jobs that are half done at their deadlines. The
+        # lowest class is exempt: it fills all free slots, so it looks busy without
+        # any overload.
+        job_slots = max(available_slots - used.by_own_class, tenant_slots)
     return Estimate(
         wait_s=wait_s,
-        job_s=max(idle_job_s, work_s / left_for_job),
+        job_s=max(idle_job_s, work_s / job_slots),
         idle_job_s=idle_job_s,
         is_over_quota=is_over_quota,
     )
 
 
 def _work_ahead(request: AdmissionRequest, load: LoadView) -> float:
-    """Return the queued work that goes first, in seconds; 0 if all of it starts."""
+    """Return the queued work of this and higher classes, in seconds.
+
+    :returns: 0 if a slot stays free once all of that work has started.
+    """
     ahead = 0
     ahead_s = 0.0
     for request_class, queued in load.queued_by_class.items():
--- a/src/cassiaturn/policy/_expiry.py
+++ b/src/cassiaturn/policy/_expiry.py
@@ -1,60 +1,67 @@
-"""Jobs by the time at which their first queued task expires."""
+"""Index of jobs by the time at which their first queued task expires."""
 
 import heapq
 from typing import Generic, Protocol, TypeVar
 
 
 class Expiring(Protocol):
-    """A job with queued tasks that must start by some time."""
+    """A job whose queued tasks must start before a deadline."""
 
-    expiry_step: int | None
-    """Step that the job is filed under; None: not filed."""
+    expiry_bucket: int | None
+    """Number of the time bucket that holds the job; None: not in the index."""
 
 
 J = TypeVar("J", bound=Expiring)
 
 
 class ExpiryIndex(Generic[J]):
-    """Files jobs in steps of time, so that filing and removal are O(1).
+    """Keeps jobs in time buckets, so that insertion and removal are O(1).
 
-    One heap entry a step, not a task: at 8,000 starts/s a heap of tasks would
-    hold every task of the last half minute, most of them long started.
+    The heap has one entry per bucket, not per task: at 8,000 starts/s a heap of
+    tasks would hold every task of the last half minute, most of which have started
+    long ago.
     """
 
-    __slots__ = ("_jobs_by_step", "_step_s", "_steps")
+    __slots__ = ("_bucket_s", "_buckets", "_jobs_by_bucket")
 
-    def __init__(self, *, step_s: float) -> None:
-        self._step_s = step_s
-        self._jobs_by_step: dict[int, dict[int, J]] = {}
-        self._steps: list[int] = []
+    def __init__(self, *, bucket_s: float) -> None:
+        self._bucket_s = bucket_s
+        self._jobs_by_bucket: dict[int, dict[int, J]] = {}
+        self._buckets: list[int] = []
 
-    def file(self, job: J, start_by: float) -> None:
-        """File a job under a start-by time, unless it is filed earlier."""
-        step = int(start_by / self._step_s) + 1
-        filed = job.expiry_step
-        if filed is not None:
-            if filed <= step:
+    def schedule(self, job: J, start_by: float) -> None:
+        """Insert a job or move it to an earlier bucket.
+
+        :param start_by: earliest start-by time of its tasks, in seconds.
+        """
+        bucket = int(start_by / self._bucket_s) + 1
+        current = job.expiry_bucket
+        if current is not None:
+            if current <= bucket:
                 return
-            del self._jobs_by_step[filed][id(job)]
-        job.expiry_step = step
-        jobs = self._jobs_by_step.get(step)
+            del self._jobs_by_bucket[current][id(job)]
+        job.expiry_bucket = bucket
+        jobs = self._jobs_by_bucket.get(bucket)
         if jobs is None:
-            jobs = self._jobs_by_step[step] = {}
-            heapq.heappush(self._steps, step)
+            jobs = self._jobs_by_bucket[bucket] = {}
+            heapq.heappush(self._buckets, bucket)
         jobs[id(job)] = job
 
     def remove(self, job: J) -> None:
-        """Take a job out, if it is filed."""
-        if job.expiry_step is not None:
-            del self._jobs_by_step[job.expiry_step][id(job)]
-            job.expiry_step = None
+        """Remove a job, if the index holds it."""
+        if job.expiry_bucket is not None:
+            del self._jobs_by_bucket[job.expiry_bucket][id(job)]
+            job.expiry_bucket = None
 
     def due(self, now: float) -> list[J]:
-        """Take out and return the jobs whose step is over."""
+        """Remove and return the jobs whose bucket has ended.
+
+        :param now: present time, in seconds.
+        """
         due: list[J] = []
-        while self._steps and self._steps[0] * self._step_s <= now:
-            step = heapq.heappop(self._steps)
-            due.extend(self._jobs_by_step.pop(step).values())
+        while self._buckets and self._buckets[0] * self._bucket_s <= now:
+            bucket = heapq.heappop(self._buckets)
+            due.extend(self._jobs_by_bucket.pop(bucket).values())
         for job in due:
-            job.expiry_step = None
+            job.expiry_bucket = None
         return due
--- a/src/cassiaturn/policy/_failure_pause.py
+++ b/src/cassiaturn/policy/_failure_pause.py
@@ -1,25 +1,26 @@
-"""Pause of a target whose last tasks all failed.
+"""Backoff for a target whose last tasks all failed.
 
-Load pattern: a worker that fails everything at once is always the one with free
-slots, so least-loaded placement sends it whatever comes next, and a task's few
-attempts are used up there before its health is judged.
+Load pattern: a worker that fails every task immediately always has free slots, so
+least-loaded placement sends it the next tasks. Without a pause, a task's few
+attempts are used up there before the target's health is evaluated.
 
-Grounds: the first failure pauses nothing, since single tasks fail by themselves.
-From the second in a row the pause doubles from the length of the shortest tasks
-to four periods of the health judgement, which ejects the target by then.
+Grounds: the first failure causes no pause, because a single task may fail by its
+own fault. From the second consecutive failure on the pause doubles, from the run
+time of the shortest tasks up to four periods of the health evaluation, which has
+ejected the target by then.
 """
 
 FIRST_PAUSE_S = 0.05
-"""Pause after the second failure in a row, in seconds."""
+"""Pause after the second consecutive failure, in seconds."""
 
 LONGEST_PAUSE_S = 0.4
 """Longest pause, in seconds."""
 
 
 def failure_pause_s(failures_in_row: int) -> float:
-    """Return how long a target gets no new start, in seconds.
+    """Return for how long a target gets no new start, in seconds.
 
-    :param failures_in_row: tasks that failed there since the last success.
+    :param failures_in_row: tasks that failed on it since its last success.
     """
     if failures_in_row < 2:
         return 0.0
--- a/src/cassiaturn/policy/_handover.py
+++ b/src/cassiaturn/policy/_handover.py
@@ -1,13 +1,14 @@
-"""Choice of the peer that takes queued work of an instance without targets.
+"""Chooses a peer for queued tasks of an instance that has no targets.
 
-Load pattern: an instance that leaves has given its targets to others while tasks
-still wait in its queue, or has none since others hold them all. No slot frees up
-here, so waiting for a peer that reports a free one can last until the deadline
-when every peer is full.
+Load pattern: an instance that is shutting down has handed its targets over while
+tasks still wait in its queue, or it has no targets because other instances hold
+them all. No slot becomes free here, so if every peer is full, waiting for a peer to
+report a free slot can last until the deadline.
 
-Grounds: with no way of its own the shortest expected wait is best, whatever it is;
-the count of our own sends since a peer's report keeps a long queue from going to
-one peer (join the shortest queue, with stale reports corrected by own sends).
+Grounds: without own targets the peer with the shortest expected wait is best,
+however long that wait is (join the shortest queue). Reports are stale, so each
+send since a peer's last report counts as waiting there; otherwise a long queue
+would go to a single peer.
 """
 
 from collections.abc import Sequence
@@ -16,7 +17,7 @@
 
 
 def choose_handover_peer(peers: Sequence[PeerRow]) -> PeerRow | None:
-    """Return the peer where a task waits the least, or None without any ready.
+    """Return the ready peer with the shortest wait, or None if none is ready.
 
     :param peers: all known peers.
     """
--- a/src/cassiaturn/policy/_load.py
+++ b/src/cassiaturn/policy/_load.py
@@ -1,4 +1,4 @@
-"""What admission weighs: a submission, and the load that it meets."""
+"""Input of admission control: a submission and the present load."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -8,19 +8,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionRequest:
-    """What admission needs to know of a submission."""
+    """Attributes of a submission that admission control uses."""
 
     submission_id: str
-    """Its id; decides where in the retry-after interval its caller returns."""
+    """Id of the submission; its hash spreads the retry-after time."""
 
     tenant: str
-    """Its tenant."""
+    """Tenant that submits it."""
 
     caller: str
-    """Its caller."""
+    """Caller within the tenant."""
 
     request_class: RequestClass
-    """Its class."""
+    """Class of the submission."""
 
     method: str
     """Full method name."""
@@ -43,26 +43,26 @@
     """Present time, in seconds."""
 
     slots: int
-    """Slots of the targets this instance holds and may use."""
+    """Slots of the targets that this instance holds and may use."""
 
     busy: int
-    """Those in use."""
+    """Those of the slots that are in use."""
 
     queued_by_class: Mapping[RequestClass, int]
-    """Queued tasks of each class here."""
+    """Number of queued tasks of each class at this instance."""
 
     tenant_running: int
-    """Running tasks of the tenant, of this instance as home."""
+    """Number of running tasks of the tenant that were submitted to this instance."""
 
     tenant_queued: int
-    """Queued tasks of the tenant here."""
+    """Number of queued tasks of the tenant at this instance."""
 
     tenant_quota_slots: float
     """Slots that the tenant's quota gives it at this instance; 0: no quota."""
 
     mean_run_s_by_class: Mapping[RequestClass, float] = field(default_factory=dict)
-    """Observed mean run time of each class, in seconds; a class that is missing
-    counts as the request."""
+    """Observed mean run time of each class, in seconds; for a missing class the
+    run time of the request is used."""
 
     peers_free_slots: int = 0
     """Free slots that peers report."""
--- a/src/cassiaturn/policy/_notices.py
+++ b/src/cassiaturn/policy/_notices.py
@@ -1,11 +1,11 @@
-"""Whom to tell that slots are free here, with a message of its own.
+"""Chooses the peers that get an extra message about free slots here.
 
-Load pattern: one instance has a queue while another has become free. The load of
-an instance rides on the frames that it sends anyway, so one that has just become
-free, and exchanges no work with the other, is still believed to be full.
+Load pattern: one instance has a queue while another has just become free. Load
+reports are carried by frames that are sent anyway, so without an extra message an
+instance that exchanges no work with the other is still believed to be full.
 
-Grounds: a notice pays only if its reader has work for the slots and believes that
-there are none, and a single free slot is taken before the notice arrives.
+Grounds: a notice is worth its cost only if the peer has queued work and believes
+that no slot is free here. A single free slot is taken before the notice arrives.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,68 +13,75 @@
 
 from cassiaturn.policy._placement import PeerRow
 
-LEAST_FREE = 3
-"""Free slots from which a notice is sent."""
+MIN_FREE_SLOTS = 3
+"""Least number of free slots for which a notice is sent."""
 
-PACE_S = 1.0
-"""Time between two notices to one peer, in seconds."""
+MIN_INTERVAL_S = 1.0
+"""Least time between two notices to one peer, in seconds."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Told:
-    """What a peer was last told of our free slots."""
+class LastReport:
+    """Free slots that a peer was last told about."""
 
     free_slots: int = 0
-    """Slots that it was told of, by any frame."""
+    """Free slots in the last frame of any kind to the peer."""
 
-    noticed_at: float = float("-inf")
-    """When it last got a frame for this alone, in seconds."""
+    notified_at: float = float("-inf")
+    """When the last notice was sent to the peer, in seconds."""
 
 
 class FreeSlotNotices:
-    """Remembers what each peer was told and says whom to tell more."""
+    """Tracks the load reports sent to each peer and chooses whom to notify."""
 
     def __init__(self, *, failure_domain: str) -> None:
-        """Start with nobody told.
+        """Start without any report sent.
 
-        :param failure_domain: of the instance; peers there are told first.
+        :param failure_domain: failure domain of the instance; peers in the same
+            domain are notified first.
         """
         self._failure_domain = failure_domain
-        self._told_by_peer: dict[str, Told] = {}
+        self._reports_by_peer: dict[str, LastReport] = {}
 
     def record_sent(self, incarnation: str, free_slots: int) -> None:
-        """Note what a frame to a peer said."""
-        told = self._told_by_peer.setdefault(incarnation, Told())
-        told.free_slots = free_slots
+        """Record the free slots reported in a frame to a peer."""
+        last_report = self._reports_by_peer.setdefault(incarnation, LastReport())
+        last_report.free_slots = free_slots
 
     def forget(self, incarnation: str) -> None:
-        """Drop a peer that is gone."""
-        self._told_by_peer.pop(incarnation, None)
+        """Drop the record of a peer that is gone."""
+        self._reports_by_peer.pop(incarnation, None)
 
     def due(
         self, *, free_slots: int, queued: int, peers: Iterable[PeerRow], now: float
     ) -> Sequence[str]:
-        """Return the peers to tell now, each at most once in ``PACE_S``.
+        """Return the peers to notify now, each at most once in ``MIN_INTERVAL_S``.
 
-        :param free_slots: free here.
-        :param queued: tasks that wait here.
-        :param now: time in seconds.
-        :returns: incarnations; as many as the free slots can serve.
+        :param free_slots: free slots of this instance.
+        :param queued: queued tasks of this instance.
+        :param peers: all known peers.
+        :param now: present time, in seconds.
+        :returns: incarnations; at most one per ``MIN_FREE_SLOTS`` free slots.
         """
-        if queued or free_slots < LEAST_FREE:
+        if queued or free_slots < MIN_FREE_SLOTS:
             return ()
-        waiting = [peer for peer in peers if self._is_waiting(peer, now)]
+        waiting = [peer for peer in peers if self._needs_notice(peer, now)]
         waiting.sort(key=lambda peer: peer.failure_domain != self._failure_domain)
-        chosen = waiting[: free_slots // LEAST_FREE]
+        chosen = waiting[: free_slots // MIN_FREE_SLOTS]
         for peer in chosen:
-            told = self._told_by_peer.setdefault(peer.incarnation, Told())
-            told.noticed_at = now
+            last_report = self._reports_by_peer.setdefault(
+                peer.incarnation, LastReport()
+            )
+            last_report.notified_at = now
         return [peer.incarnation for peer in chosen]
 
-    def _is_waiting(self, peer: PeerRow, now: float) -> bool:
+    def _needs_notice(self, peer: PeerRow, now: float) -> bool:
         if not peer.ready or peer.queued == 0:
             return False
-        told = self._told_by_peer.get(peer.incarnation)
-        if told is None:
+        last_report = self._reports_by_peer.get(peer.incarnation)
+        if last_report is None:
             return True
-        return told.free_slots < LEAST_FREE and now - told.noticed_at >= PACE_S
+        return (
+            last_report.free_slots < MIN_FREE_SLOTS
+            and now - last_report.notified_at >= MIN_INTERVAL_S
+        )
--- a/src/cassiaturn/policy/_placement.py
+++ b/src/cassiaturn/policy/_placement.py
@@ -1,17 +1,18 @@
-"""Choice of the peer that runs a task when no own target is free.
+"""Chooses the peer that runs a task when no own target is free.
 
-Load pattern: an instance whose slots are full while peers have free ones.
-Without spilling, the work of one instance queues beside idle slots; with eager
-spilling, several instances send to the same free slot and all but one of the
+Load pattern: all slots of an instance are in use while peers have free ones.
+Without spilling, tasks of one instance queue while slots elsewhere are idle; with
+eager spilling, several instances send to the same free slot and all but one of the
 sends are wasted.
 
-Grounds: a peer's report is as old as its heartbeat, and every other instance
-sees the same one. So a sender claims only a part of the reported free slots,
-lowers what it believes by its own sends, chooses among peers in proportion to
-free slots (join idle queue with a random tie break does not herd), and goes
-far only if the wait saved pays for the distance. The last free slots of each
-instance are left to higher classes (trunk reservation), but only while a peer
-reports room: then lower work has somewhere to go and no throughput is lost.
+Grounds: a peer's report is as old as its heartbeat, and every other instance sees
+the same one. So a sender claims only a share of the reported free slots, subtracts
+its own sends from them, chooses among peers in proportion to their free slots (join
+idle queue with a random tie break, which does not herd), and sends to another
+failure domain only if the wait saved outweighs the latency. The last free slots of
+each instance are reserved for higher classes (trunk reservation), but only while a
+peer reports free slots: lower classes then have somewhere to go, and no throughput
+is lost.
 """
 
 from collections.abc import Sequence
@@ -24,24 +25,24 @@
 
 _HASH_RANGE = float(1 << 64)
 _ROUNDING = 0.5
-"""Turns "more slots than the share, rounded" into a comparison of floats."""
+"""Makes a comparison with a fractional number of slots round to whole slots."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class PeerRow:
-    """Another instance, as last reported and as believed since."""
+    """Estimated load of a peer: its last report, corrected by own sends."""
 
     instance_id: str
-    """Its name."""
+    """Id of the instance."""
 
     incarnation: str
-    """Its present life."""
+    """Id of its present process."""
 
     failure_domain: str
-    """Where it runs."""
+    """Failure domain in which it runs."""
 
     free_slots: int
-    """Free slots believed: reported, less our sends since."""
+    """Estimated free slots: those reported, less own sends since."""
 
     queued: int
     """Queued tasks reported."""
@@ -53,21 +54,21 @@
     """When the report arrived, in seconds."""
 
     ready: bool
-    """Whether it takes work."""
+    """Whether it accepts work."""
 
     slots: int
-    """Slots it holds."""
+    """Slots that it holds."""
 
     outstanding: int = 0
-    """Our tasks with it that have no outcome yet."""
+    """Own tasks sent to it that have no outcome yet."""
 
     claimed: int = 0
-    """Our sends since its last report."""
+    """Own sends since its last report."""
 
     def apply_report(
         self, *, free_slots: int, queued: int, expected_wait_s: float, now: float
     ) -> None:
-        """Take in a report, which overrules what was believed."""
+        """Replace the estimates by a new report."""
         self.free_slots = free_slots
         self.queued = queued
         self.expected_wait_s = expected_wait_s
@@ -85,10 +86,10 @@
     """Chooses a peer for tasks that find no free target of their own."""
 
     def __init__(self, *, settings: PlacementSettings, failure_domain: str) -> None:
-        """Make the chooser of an instance.
+        """Make the placement of an instance.
 
-        :param settings: the tunables.
-        :param failure_domain: where the instance runs.
+        :param settings: placement settings.
+        :param failure_domain: failure domain in which the instance runs.
         """
         self._settings = settings
         self._failure_domain = failure_domain
@@ -102,30 +103,30 @@
     ) -> PeerRow | None:
         """Return the peer that should run a task, or None to keep it.
 
-        A task that no peer has room for may use spare slots from now on.
+        A task for which no peer has free slots may use reserved slots from now on.
 
-        :param task: a task that no own target is free for.
-        :param own_wait_s: its expected wait here, in seconds.
+        :param task: a task for which no own target is free.
+        :param own_wait_s: its expected wait at this instance, in seconds.
         :param peers: all known peers.
         :param now: present time, in seconds.
         """
         settings = self._settings
-        near_after_s = settings.spill_after_s_by_class[task.request_class]
-        if own_wait_s < near_after_s:
+        spill_after_s = settings.spill_after_s_by_class[task.request_class]
+        if own_wait_s < spill_after_s:
             return None
         spare_share = settings.spare_share_by_class.get(task.request_class, 0.0)
-        with_room = _with_room(peers, spare_share, now - settings.report_trust_s)
-        if not with_room:
-            # With every peer full, a slot kept for higher classes is lost to all
-            # and throughput falls by as much. Letting just this task have it is
-            # enough: one task at a time is in this place.
+        candidates = _with_free_slots(peers, spare_share, now - settings.report_trust_s)
+        if not candidates:
+            # While every peer is full, a slot reserved for higher classes stays
+            # idle and its throughput is lost. Permitting only this task is enough,
+            # because one task at a time is at the head of the queue.
             task.may_use_spare = True
             return None
-        may_go_far = own_wait_s >= near_after_s + settings.far_extra_s
+        may_leave_domain = own_wait_s >= spill_after_s + settings.far_extra_s
         wait_below_s = own_wait_s * settings.hysteresis
-        near: list[PeerRow] = []
-        far: list[PeerRow] = []
-        for peer in with_room:
+        in_same_domain: list[PeerRow] = []
+        in_other_domains: list[PeerRow] = []
+        for peer in candidates:
             free = peer.free_slots
             claimed = peer.claimed
             if free <= spare_share * peer.slots + _ROUNDING:
@@ -135,16 +136,16 @@
             if peer.expected_wait_s >= wait_below_s:
                 continue
             if peer.failure_domain == self._failure_domain:
-                near.append(peer)
-            elif may_go_far:
-                far.append(peer)
-        return _draw(task, near or far)
+                in_same_domain.append(peer)
+            elif may_leave_domain:
+                in_other_domains.append(peer)
+        return _choose_weighted(task, in_same_domain or in_other_domains)
 
 
-def _with_room(
+def _with_free_slots(
     peers: Sequence[PeerRow], spare_share: float, reported_after: float
 ) -> Sequence[PeerRow]:
-    """Return the ready peers whose last report names room for a class."""
+    """Return the ready peers whose last report has free slots for a class."""
     return [
         peer
         for peer in peers
@@ -154,20 +155,21 @@
     ]
 
 
-def _draw(task: QueuedTask, peers: Sequence[PeerRow]) -> PeerRow | None:
+def _choose_weighted(task: QueuedTask, peers: Sequence[PeerRow]) -> PeerRow | None:
     if not peers:
         return None
     if len(peers) == 1:
         return peers[0]
-    # Every instance sees the same reports; if each took the freest peer, all
-    # would send there at once. The hash gives each task its own order.
+    # Every instance sees the same reports; if each chose the peer with the most
+    # free slots, all would send to it at once. The hash makes the choice of each
+    # task independent.
     total = sum(peer.free_slots for peer in peers)
     digest = xxhash.xxh3_64_intdigest(
         task.key.submission_id.encode(), task.key.task_index
     )
-    mark = digest / _HASH_RANGE * total
+    point = digest / _HASH_RANGE * total
     for peer in peers:
-        mark -= peer.free_slots
-        if mark < 0.0:
+        point -= peer.free_slots
+        if point < 0.0:
             return peer
     return peers[-1]
--- a/src/cassiaturn/policy/_queue_tables.py
+++ b/src/cassiaturn/policy/_queue_tables.py
@@ -1,4 +1,4 @@
-"""Rows of the fair queue: classes, tenants, callers and jobs."""
+"""Nodes of the fair queue: classes, tenants, callers, methods and jobs."""
 
 from collections import deque
 
@@ -6,13 +6,13 @@
 from cassiaturn.policy._ranking import Account, Member, Ranking
 
 
-class Lane:
-    """Tasks of one request class."""
+class ClassQueue:
+    """Queued tasks of one request class, with its credit as a deficit counter."""
 
     __slots__ = (
         "credit_s",
         "floor",
-        "latest",
+        "max_finish_tag",
         "mean_run_s",
         "queued",
         "ranking",
@@ -28,10 +28,10 @@
         self.ranking: Ranking[Tenant] = Ranking()
         self.tenants_by_name: dict[str, Tenant] = {}
         self.virtual_now = 0.0
-        self.latest = 0.0
+        self.max_finish_tag = 0.0
 
     @property
-    def is_owed(self) -> bool:
+    def has_credit(self) -> bool:
         """Whether the class has earned a task ahead of higher classes."""
         return self.floor > 0.0 and self.credit_s > self.mean_run_s
 
@@ -41,43 +41,43 @@
 
     __slots__ = (
         "callers_by_name",
+        "class_queue",
         "idle_callers",
-        "lane",
-        "latest",
+        "max_finish_tag",
         "name",
         "rankings_by_method",
         "virtual_now",
     )
 
-    def __init__(self, *, lane: Lane, name: str, weight: float) -> None:
+    def __init__(self, *, class_queue: ClassQueue, name: str, weight: float) -> None:
         super().__init__(account=Account(weight=weight))
-        self.lane = lane
+        self.class_queue = class_queue
         self.name = name
         self.callers_by_name: dict[str, Caller] = {}
         self.idle_callers: deque[Caller] = deque()
-        self.rankings_by_method: dict[str, Ranking[Leaf]] = {}
+        self.rankings_by_method: dict[str, Ranking[MethodQueue]] = {}
         self.virtual_now = 0.0
-        self.latest = 0.0
+        self.max_finish_tag = 0.0
 
-    def leaf_of(self, task: QueuedTask) -> "Leaf":
-        """Return the row for a task's caller and method, made if missing."""
+    def method_queue_of(self, task: QueuedTask) -> "MethodQueue":
+        """Return the queue for a task's caller and method, created if missing."""
         caller = self.callers_by_name.get(task.caller)
         if caller is None:
             caller = Caller(tenant=self, name=task.caller)
             self.callers_by_name[task.caller] = caller
-        leaf = caller.leaves_by_method.get(task.method)
-        if leaf is None:
-            leaf = Leaf(caller=caller, method=task.method)
-            caller.leaves_by_method[task.method] = leaf
+        method_queue = caller.queues_by_method.get(task.method)
+        if method_queue is None:
+            method_queue = MethodQueue(caller=caller, method=task.method)
+            caller.queues_by_method[task.method] = method_queue
             if task.method not in self.rankings_by_method:
                 self.rankings_by_method[task.method] = Ranking()
-        return leaf
+        return method_queue
 
-    def sweep_callers(self) -> None:
-        """Forget up to two idle callers whose past no longer matters.
+    def drop_idle_callers(self) -> None:
+        """Drop up to two idle callers whose service record has no effect any more.
 
-        Callers come and go by the million. One that is not ahead of the
-        tenant's virtual time would re-enter at that time anyway.
+        Millions of callers come and go. One that is not ahead of the tenant's
+        virtual time would re-enter at that time anyway.
         """
         for _ in range(min(2, len(self.idle_callers))):
             caller = self.idle_callers.popleft()
@@ -92,19 +92,19 @@
 class Caller:
     """A caller of a tenant within one class."""
 
-    __slots__ = ("account", "leaves_by_method", "name", "queued", "tenant")
+    __slots__ = ("account", "name", "queued", "queues_by_method", "tenant")
 
     def __init__(self, *, tenant: Tenant, name: str) -> None:
         self.tenant = tenant
         self.name = name
         self.account = Account(weight=1.0)
         self.account.virtual_time = tenant.virtual_now
-        self.leaves_by_method: dict[str, Leaf] = {}
+        self.queues_by_method: dict[str, MethodQueue] = {}
         self.queued = 0
 
 
-class Leaf(Member):
-    """Jobs of one caller for one method; ranked by the caller's service."""
+class MethodQueue(Member):
+    """Jobs of one caller for one method; ranked by the caller's virtual time."""
 
     __slots__ = ("caller", "jobs", "method")
 
@@ -116,17 +116,17 @@
 
 
 class Job(Member):
-    """Queued tasks of one submission; its rank is a level of service."""
+    """Queued tasks of one submission; ranked by its service level."""
 
     __slots__ = (
         "attained_s",
         "caller",
         "charged_runs",
+        "class_queue",
         "estimate_s",
-        "expiry_step",
+        "expiry_bucket",
         "first_start_by",
-        "lane",
-        "leaf",
+        "method_queue",
         "observed_s",
         "outstanding",
         "remaining",
@@ -135,12 +135,12 @@
         "tenant",
     )
 
-    def __init__(self, *, leaf: Leaf, task: QueuedTask) -> None:
+    def __init__(self, *, method_queue: MethodQueue, task: QueuedTask) -> None:
         super().__init__(account=Account(weight=1.0))
-        self.leaf = leaf
-        self.caller = leaf.caller
-        self.tenant = leaf.caller.tenant
-        self.lane = leaf.caller.tenant.lane
+        self.method_queue = method_queue
+        self.caller = method_queue.caller
+        self.tenant = method_queue.caller.tenant
+        self.class_queue = method_queue.caller.tenant.class_queue
         self.submission_id = task.key.submission_id
         self.tasks: deque[QueuedTask] = deque()
         self.estimate_s = task.expected_run_s
@@ -150,12 +150,14 @@
         self.remaining = task.job_remaining
         self.outstanding = 0
         self.first_start_by = task.start_by
-        self.expiry_step: int | None = None
+        self.expiry_bucket: int | None = None
 
     def update_level(self, base_s: float) -> None:
-        """Set the rank from the lesser of service received and service left.
+        """Set the rank from the lesser of attained and remaining service.
 
-        :param base_s: service of the first level, in seconds.
+        Each further level covers twice the service of the one before.
+
+        :param base_s: service covered by the first level, in seconds.
         """
         service_s = self.attained_s
         if service_s >= base_s:
--- a/src/cassiaturn/policy/_queued_task.py
+++ b/src/cassiaturn/policy/_queued_task.py
@@ -1,4 +1,4 @@
-"""A task that waits for a target."""
+"""The entry of a task in the queue."""
 
 from dataclasses import dataclass
 
@@ -7,44 +7,44 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class QueuedTask:
-    """One task in an instance's queue; its holder may raise ``attempt``."""
+    """One task in an instance's queue; the instance may increment ``attempt``."""
 
     key: TaskKey
-    """Which task of which submission."""
+    """Submission of the task and its index there."""
 
     tenant: str
-    """Tenant that is charged."""
+    """Tenant that is charged for its service."""
 
     caller: str
     """Caller within the tenant."""
 
     request_class: RequestClass
-    """How soon it matters."""
+    """Priority class."""
 
     method: str
     """Full method name; tasks of one method take the same resources."""
 
     resources: Resources
-    """What it takes of a worker."""
+    """Resources that it uses on a worker."""
 
     enqueued_at: float
     """When it was queued, in seconds."""
 
     start_by: float
-    """Latest start, in seconds; at this time it is expired."""
+    """Start deadline, in seconds; the task is expired from this time on."""
 
     job_remaining: int
-    """Tasks of the job without a result."""
+    """Number of tasks of the job that have no result yet."""
 
     attempt: int = 0
-    """Earlier starts of this task."""
+    """Number of earlier starts of this task."""
 
     repeatable: bool
-    """Whether it may run again once a run is over."""
+    """Whether it may run again after a run has ended."""
 
     may_use_spare: bool = False
-    """Whether it may take slots left to higher classes: its class is owed
-    service, or no peer had room for it."""
+    """Whether it may use slots reserved for higher classes, because its class has
+    credit for service or no peer had a free slot for it."""
 
     expected_run_s: float
-    """Expected run time in seconds, learnt where it can be."""
+    """Expected run time, in seconds; learned if runs were observed."""
--- a/src/cassiaturn/policy/_quota.py
+++ b/src/cassiaturn/policy/_quota.py
@@ -1,20 +1,21 @@
-"""A tenant's quota, split over the instances that serve it.
+"""Splits a tenant's quota over the instances that serve it.
 
-Load pattern: a tenant's callers land on some instances and not on others.
-Without a split by demand each instance enforces an equal part, and a tenant all
-of whose callers sit on one of eight instances gets an eighth of its quota.
+Load pattern: a tenant's callers connect to some instances and not to others.
+Without a split by demand each instance enforces an equal part, and a tenant whose
+callers all connect to one of eight instances gets an eighth of its quota.
 
-Grounds: water-filling. Each instance gets its demand up to an equal level, and
-what nobody asks for is left on top in equal parts, so the parts of one view
-always add up to the quota. Views differ while demand moves, so a part grows by
-at most ``GROWTH`` of the quota a step, while it shrinks at once: with views one
-step apart the sum stays within ``1 + instances * GROWTH`` of the quota.
+Grounds: max-min fair allocation (water-filling). Each instance gets its demand up
+to a common level, and quota without demand is added in equal parts, so the parts
+computed from one view always add up to the quota. Views of the demand differ
+between instances while it changes, so a part grows by at most ``MAX_GROWTH`` of the
+quota per step but shrinks at once. With views one step apart, the sum stays within
+``1 + instances * MAX_GROWTH`` times the quota.
 """
 
 from collections.abc import Mapping
 
-GROWTH = 0.1
-"""Largest growth of an instance's part in one step, as a share of the quota."""
+MAX_GROWTH = 0.1
+"""Largest growth of an instance's part per step, as a ratio of the quota."""
 
 
 def split_quota(
@@ -23,7 +24,8 @@
     """Return each instance's part of a quota, in slots.
 
     :param quota_slots: the whole quota, in slots.
-    :param demand_by_instance: running and queued tasks of the tenant.
+    :param demand_by_instance: number of running and queued tasks of the tenant at
+        each instance.
     :returns: the parts; they add up to the quota.
     """
     parts_by_instance: dict[str, float] = {}
@@ -50,12 +52,13 @@
     """Return an instance's own part after one step, in slots.
 
     :param quota_slots: the whole quota, in slots.
-    :param instance_id: the instance itself; a key of the demand.
-    :param demand_by_instance: running and queued tasks, as last reported.
-    :param current_slots: the part in force; 0 on the first step.
+    :param instance_id: this instance; a key of ``demand_by_instance``.
+    :param demand_by_instance: number of running and queued tasks of the tenant at
+        each instance, as last reported.
+    :param current_slots: the present part, in slots; 0 on the first step.
     """
     parts_by_instance = split_quota(
         quota_slots=quota_slots, demand_by_instance=demand_by_instance
     )
-    goal = parts_by_instance[instance_id]
-    return min(goal, current_slots + GROWTH * quota_slots)
+    new_part = parts_by_instance[instance_id]
+    return min(new_part, current_slots + MAX_GROWTH * quota_slots)
--- a/src/cassiaturn/policy/_ranking.py
+++ b/src/cassiaturn/policy/_ranking.py
@@ -1,15 +1,15 @@
-"""The active member with the least virtual time, in logarithmic time."""
+"""Priority queue by virtual time, with lazy updates."""
 
 from heapq import heapify, heappop, heappush, heapreplace
 from itertools import count
 from typing import Generic, TypeAlias, TypeVar
 
 _COMPACT_SLACK = 64
-"""Stale entries tolerated before a heap is rebuilt."""
+"""Stale entries tolerated beyond the number of valid ones."""
 
 
 class Account:
-    """Weighted service received: the virtual time of a tenant or caller."""
+    """Virtual time of a tenant or caller: its service divided by its weight."""
 
     __slots__ = ("virtual_time", "weight")
 
@@ -19,7 +19,7 @@
 
 
 class Member:
-    """What a :class:`Ranking` orders: queued tasks of one account."""
+    """Base of what a :class:`Ranking` orders: queued tasks of one account."""
 
     __slots__ = ("account", "entry_key", "queued")
 
@@ -27,45 +27,46 @@
         self.account = account
         self.queued = 0
         self.entry_key: float | None = None
-        """Key of the live heap entry; None: no entry."""
+        """Key of the valid heap entry; None: no entry."""
 
 
 M = TypeVar("M", bound=Member)
 
 Entry: TypeAlias = tuple[float, int, M]
-"""Key, order of entry, member: what the heap compares."""
+"""Heap entry: key, insertion number to break ties, member."""
 
 
 class Ranking(Generic[M]):
-    """Members with queued tasks, least virtual time first.
+    """Members with queued tasks, least virtual time first, in logarithmic time.
 
-    Each member has one live entry. A virtual time that grew is noticed when the
-    entry comes to the top; one that shrank needs :meth:`refresh`. Entries of
-    members that ran empty are dropped when they come to the top.
+    Each member has one valid entry. A virtual time that has grown is detected when
+    the entry reaches the top; one that has shrunk needs :meth:`refresh`. Entries of
+    members without queued tasks are dropped when they reach the top.
     """
 
-    __slots__ = ("_heap", "_live", "_numbers")
+    __slots__ = ("_heap", "_numbers", "_valid")
 
     def __init__(self) -> None:
         self._heap: list[Entry[M]] = []
         self._numbers = count()
-        self._live = 0
+        self._valid = 0
 
     def refresh(self, member: M, slack: float = 0.0) -> None:
-        """Enter a member, or move it forward after its virtual time shrank.
+        """Insert a member, or move it forward after its virtual time shrank.
 
-        :param slack: how far the live entry may stay behind, in virtual time.
+        :param slack: by how much the key of the valid entry may exceed the virtual
+            time, in units of virtual time.
         """
         key = member.account.virtual_time
         if member.entry_key is None:
-            self._live += 1
+            self._valid += 1
         elif member.entry_key <= key + slack:
             return
         member.entry_key = key
         heappush(self._heap, (key, next(self._numbers), member))
-        # Refunds leave stale entries behind; unbounded, they would outgrow the
-        # members. A rebuild once they are the majority costs O(1) each.
-        if len(self._heap) > 2 * self._live + _COMPACT_SLACK:
+        # Refunds leave stale entries behind, which would outnumber the members
+        # without a bound. A rebuild once they are the majority costs O(1) each.
+        if len(self._heap) > 2 * self._valid + _COMPACT_SLACK:
             self._compact()
 
     def first(self) -> M | None:
@@ -78,7 +79,7 @@
             elif not member.queued:
                 heappop(heap)
                 member.entry_key = None
-                self._live -= 1
+                self._valid -= 1
             else:
                 current = member.account.virtual_time
                 if current <= key:
@@ -87,15 +88,15 @@
                 heapreplace(heap, (current, number, member))
         return None
 
-    def set_aside(self) -> "Entry[M]":
-        """Take the entry of the member that :meth:`first` returned out.
+    def take_first(self) -> "Entry[M]":
+        """Remove the entry of the member that :meth:`first` returned.
 
         :returns: the entry, for :meth:`put_back`.
         """
         return heappop(self._heap)
 
     def put_back(self, entry: "Entry[M]") -> None:
-        """Put an entry that was set aside back into its place."""
+        """Insert an entry again that :meth:`take_first` removed."""
         heappush(self._heap, entry)
 
     def _compact(self) -> None:
--- a/src/cassiaturn/policy/_retries.py
+++ b/src/cassiaturn/policy/_retries.py
@@ -1,14 +1,14 @@
-"""Whether a task that came to nothing is started again, and when.
+"""Decides whether and when a failed task is started again.
 
-Load pattern: a store, a failure domain or every target fails at once, and each
+Load pattern: a store, a failure domain or all targets fail at once, and each
 failure asks for another start. Without a budget the load is multiplied by the
-number of attempts just when least of it can be served (retry storm), and stays
-up after the cause is gone.
+number of attempts when the least of it can be served (retry storm), and it stays
+high after the cause is gone.
 
-Grounds: a budget of retries as a share of successes bounds the extra load to
-that share in steady state (10% is the figure of the Google SRE book and of
-Finagle); starts that never began cost no budget, since they did no work, but
-are paced with exponential backoff and full jitter.
+Grounds: a retry budget as a ratio of the successes bounds the extra load to that
+ratio in steady state (the Google SRE book and Finagle use 10%). Refused starts cost
+no budget, because they did no work, but are delayed with exponential backoff and
+equal jitter.
 """
 
 import random
@@ -22,16 +22,16 @@
 
 
 class PreviousRun(Enum):
-    """What is known of the start that came to nothing."""
+    """What is known about the last start of a task that has no result."""
 
     NEVER_BEGUN = auto()
-    """It was refused; nothing ran and nothing will."""
+    """It was refused; the task did not run and will not."""
 
     OVER = auto()
-    """It ran and is over."""
+    """The run has ended."""
 
     UNKNOWN = auto()
-    """It may have run and may still run."""
+    """The task may have run and may still be running."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -39,25 +39,25 @@
     """Start the task again."""
 
     delay_s: float
-    """When, in seconds from now."""
+    """Delay until the start, in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GiveUp:
-    """Start it no more."""
+    """Do not start the task again."""
 
     reason: Reason
-    """Why."""
+    """Cause of failure to report."""
 
 
 class RetryBudget:
-    """Retries of one instance."""
+    """Token bucket that limits the retries of one instance."""
 
     def __init__(self, *, settings: RetrySettings, seed: int = 0) -> None:
-        """Make a budget that starts full.
+        """Make a full budget.
 
-        :param settings: the tunables.
-        :param seed: of the jitter; differs between instances.
+        :param settings: retry settings.
+        :param seed: seed of the jitter; must differ between instances.
         """
         self._settings = settings
         self._random = random.Random(seed)
@@ -66,25 +66,25 @@
 
     @property
     def tokens(self) -> float:
-        """Retries left."""
+        """Retries left in the budget."""
         return self._tokens
 
     def succeeded(self, now: float) -> None:
-        """Earn a share of a retry for a task that succeeded."""
+        """Add the share of a retry that one successful task earns."""
         self._earn(self._settings.share, now)
 
     def reconfigure(self, settings: RetrySettings) -> None:
-        """Put other tunables in force; what was learned is kept."""
+        """Replace the settings; the retries left are kept."""
         self._settings = settings
 
     def decide(
         self, *, attempt: int, repeatable: bool, previous_run: PreviousRun, now: float
     ) -> Retry | GiveUp:
-        """Decide on a task whose start came to nothing.
+        """Decide on a task whose last start brought no result.
 
-        :param attempt: earlier starts of the task, this one included.
-        :param repeatable: whether it may run again once a run is over.
-        :param previous_run: what is known of this start.
+        :param attempt: number of starts so far, the last one included.
+        :param repeatable: whether the task may run again after a run has ended.
+        :param previous_run: what is known about the last start.
         :param now: present time, in seconds.
         """
         settings = self._settings
@@ -92,8 +92,8 @@
             if attempt >= settings.max_refused:
                 return GiveUp(reason=Reason.NO_TARGET)
             return Retry(delay_s=self._delay(attempt))
-        # A second start beside a run that may still be going would run the task
-        # twice, and its caller would see an order doubled. Being repeatable does
+        # A second start while the first run may still continue would run the task
+        # twice, and its caller would see a duplicate order. Being repeatable does
         # not help: it only permits runs one after another.
         if previous_run is PreviousRun.UNKNOWN:
             return GiveUp(reason=Reason.TARGET_LOST)
--- a/src/cassiaturn/policy/_run_times.py
+++ b/src/cassiaturn/policy/_run_times.py
@@ -1,11 +1,11 @@
-"""Run times by method and class, learnt from what is seen.
+"""Run times by method and class, learned from observed runs.
 
-Load pattern: declarations off by ten times both ways. Without learning, a
-method declared too long is refused on an idle system and one declared too short
-is admitted to miss its deadline.
+Load pattern: declared run times that are ten times too long or too short. Without
+learning, a method declared too long is refused on an idle system, and one declared
+too short is admitted and misses its deadline.
 
-Grounds: the declared time counts for as much as ``prior_runs`` runs, so it is
-outvoted after a few; then a moving average with a memory of about
+Grounds: the declared time has the weight of ``prior_runs`` runs, so a few observed
+runs outweigh it. After that the estimate is a moving average over about
 ``1 / learning_rate`` runs.
 """
 
@@ -26,7 +26,7 @@
 
 
 class RunTimes:
-    """Mean run times of everything this instance has seen end."""
+    """Mean run times of the tasks that this instance has seen finish."""
 
     def __init__(self, *, settings: AdmissionSettings) -> None:
         self._settings = settings
@@ -35,23 +35,28 @@
         self.mean_s_by_class: dict[RequestClass, float] = {}
 
     def observe(self, method: str, request_class: RequestClass, run_s: float) -> None:
-        """Take in one run.
+        """Record one run.
 
-        :param run_s: time that the task ran, in seconds.
+        :param method: full method name.
+        :param request_class: class of the task.
+        :param run_s: time for which the task ran, in seconds.
         """
         rate = self._settings.learning_rate
         self._means_by_method.setdefault(method, _Mean()).add(run_s, rate)
-        of_class = self._means_by_class.setdefault(request_class, _Mean())
-        of_class.add(run_s, rate)
-        self.mean_s_by_class[request_class] = of_class.value_s
+        class_mean = self._means_by_class.setdefault(request_class, _Mean())
+        class_mean.add(run_s, rate)
+        self.mean_s_by_class[request_class] = class_mean.value_s
 
     def expected_s(self, method: str, declared_s: float) -> float:
-        """Return the mean of a method, the declaration counting as some runs.
+        """Return the expected run time of a method, in seconds.
 
+        :param method: full method name.
         :param declared_s: declared run time, in seconds.
         """
         mean = self._means_by_method.get(method)
         if mean is None:
             return declared_s
-        prior = self._settings.prior_runs / (self._settings.prior_runs + mean.runs)
-        return prior * declared_s + (1.0 - prior) * mean.value_s
+        prior_weight = self._settings.prior_runs / (
+            self._settings.prior_runs + mean.runs
+        )
+        return prior_weight * declared_s + (1.0 - prior_weight) * mean.value_s
--- a/src/cassiaturn/policy/_service_rates.py
+++ b/src/cassiaturn/policy/_service_rates.py
@@ -1,12 +1,13 @@
-"""Slots that each class was seen to use.
+"""Measures how many slots each class uses.
 
-Load pattern: batch work behind a stream of urgent and normal work. Its queue
-does not drain at the rate of all slots but of what the higher classes leave;
-without knowing that, a batch job is admitted to be dropped at its deadline.
+Load pattern: batch work behind a stream of urgent and normal work. Its queue does
+not drain at the rate of all slots but at that of the slots that higher classes
+leave. Without that rate, a batch job is admitted and then dropped at its deadline.
 
-Grounds: run time ended in a window over its length is the mean number of slots
-in use (Little's law); a moving average of a few windows follows a change of
-load within seconds and is not moved by one long task.
+Grounds: the total run time of the tasks that finished in a window, divided by the
+length of the window, is the mean number of slots in use (Little's law). A moving
+average over a few windows follows a change of load within seconds and is not
+distorted by a single long task.
 """
 
 from dataclasses import dataclass
@@ -14,20 +15,20 @@
 from cassiaturn.entities import RequestClass
 
 _WINDOW_S = 1.0
-"""Least length of a window, in seconds."""
+"""Minimum length of a window, in seconds."""
 
-_RATE = 0.3
-"""Weight of the newest window: three windows of memory."""
+_LEARNING_RATE = 0.3
+"""Weight of the newest window; the average covers about three windows."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UsedSlots:
-    """Slots in use, as one class sees them; made by :class:`ServiceRates`."""
+    """Mean slots in use from the point of view of one class."""
 
-    above: float
+    by_higher_classes: float
     """Slots that higher classes use."""
 
-    own: float
+    by_own_class: float
     """Slots that the class itself uses."""
 
 
@@ -40,24 +41,28 @@
         self._window_from: float | None = None
 
     def observe(self, request_class: RequestClass, run_s: float) -> None:
-        """Take in a run that ended.
+        """Record a run that ended.
 
-        :param run_s: time that it held a slot, in seconds.
+        :param request_class: class of the task.
+        :param run_s: time for which it held a slot, in seconds.
         """
         self._ended_s_by_class[request_class] += run_s
 
     def used_slots(self, request_class: RequestClass, now: float) -> UsedSlots:
-        """Return the slots in use, as a class sees them.
+        """Return the slots in use by a class and by those above it.
 
         :param request_class: the class.
         :param now: present time, in seconds.
         """
         self._close_window(now)
-        above = 0.0
+        by_higher_classes = 0.0
         for other, slots in self._slots_by_class.items():
             if other < request_class:
-                above += slots
-        return UsedSlots(above=above, own=self._slots_by_class[request_class])
+                by_higher_classes += slots
+        return UsedSlots(
+            by_higher_classes=by_higher_classes,
+            by_own_class=self._slots_by_class[request_class],
+        )
 
     def _close_window(self, now: float) -> None:
         if self._window_from is None:
@@ -68,6 +73,6 @@
         self._window_from = now
         for request_class, ended_s in self._ended_s_by_class.items():
             slots = self._slots_by_class[request_class]
-            slots += _RATE * (ended_s / length_s - slots)
+            slots += _LEARNING_RATE * (ended_s / length_s - slots)
             self._slots_by_class[request_class] = slots
             self._ended_s_by_class[request_class] = 0.0
--- a/src/cassiaturn/policy/_settings.py
+++ b/src/cassiaturn/policy/_settings.py
@@ -1,4 +1,4 @@
-"""Tunables of the decisions under load, with units and grounds."""
+"""Settings of the scheduling decisions, with their units and reasons."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -32,193 +32,200 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderSettings:
-    """How the fair queue orders tasks; use it to build a ``FairQueue``."""
+    """Order of queued tasks; settings of ``FairQueue``."""
 
     floor_by_class: Mapping[RequestClass, float] = field(
         default_factory=_default_floors
     )
-    """Share of service (0 to 1) a class keeps while a higher class is queued."""
+    """Minimum share of service (0 to 1) of a class while a higher class is queued."""
 
     default_weight: float = 1.0
-    """Weight of a tenant that has none configured; a ratio."""
+    """Weight of a tenant without a configured weight; a ratio."""
 
     level_base_s: float = 0.5
-    """Service of the first job level, in seconds: some short tasks in full."""
+    """Service covered by the first job level, in seconds: a few short tasks."""
 
     expiry_step_s: float = 0.010
-    """How late ``expire`` may report a task, in seconds; ``pop`` is exact."""
+    """Largest delay of ``FairQueue.expire``, in seconds; ``pop`` is exact."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionSettings:
-    """When a submission is refused; use it to build an ``Admission``."""
+    """Limits beyond which a submission is refused; settings of ``Admission``."""
 
     max_wait_s_by_class: Mapping[RequestClass, float] = field(
         default_factory=_default_max_wait
     )
-    """Longest expected wait accepted whatever the deadline, in seconds."""
+    """Longest expected wait accepted for any deadline, in seconds."""
 
     least_share_by_class: Mapping[RequestClass, float] = field(
         default_factory=_default_floors
     )
-    """Share of the slots that a class can count on; the floors of the order."""
+    """Share of the slots that a class can count on: its floor in the fair queue."""
 
     busy_share: float = 0.8
-    """Share of the slots in use from which a job of a tenant over its quota is
-    weighed by what is left over for it."""
+    """Share of slots in use above which a job of a tenant over its quota is
+    estimated on the slots left over for it."""
 
     safety: float = 0.9
-    """Share of the deadline that the expected end may take; a ratio."""
+    """Share of the time to the deadline that the expected answer may take; a
+    ratio."""
 
     resume: float = 0.8
-    """Share of the limit at which a class that refused admits again; a ratio.
+    """Share of the limit below which a class that refused admits again; a ratio.
 
-    The gap between 1 and this value is the hysteresis: without it instances
-    that refuse drain together, admit together and overfill together.
+    The gap to 1 is the hysteresis. Without it, instances that refuse would drain,
+    admit and become overloaded again at the same time.
     """
 
     spread: float = 1.0
     """Width of the retry-after interval as a multiple of its start; a ratio."""
 
     min_retry_after_s: float = 0.2
-    """Least retry-after, in seconds: the middle of a short task."""
+    """Minimum retry-after, in seconds: a typical short task."""
 
     max_retry_after_s: float = 30.0
     """Largest start of the retry-after interval, in seconds."""
 
     learning_rate: float = 0.05
-    """Weight of one new run in the mean run time; about 20 runs of memory."""
+    """Weight of a new run in the mean run time, which covers about 20 runs; a
+    ratio."""
 
     prior_runs: float = 5.0
-    """Runs that the declared run time counts for, in tasks."""
+    """Weight of the declared run time, in observed runs."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlacementSettings:
-    """When and where a task leaves its home; use it to build a ``Placement``."""
+    """When and where tasks are sent to a peer; settings of ``Placement``."""
 
     spill_after_s_by_class: Mapping[RequestClass, float] = field(
         default_factory=_default_spill_after
     )
-    """Own expected wait that justifies a send within the domain, in seconds."""
+    """Own expected wait from which a task may be sent to a peer in the same failure
+    domain, in seconds."""
 
     spare_share_by_class: Mapping[RequestClass, float] = field(
         default_factory=_default_spare
     )
-    """Share of an instance's slots left to higher classes while a peer has room.
+    """Share of an instance's slots reserved for higher classes while a peer has
+    free slots; a ratio.
 
-    One and two of the 24 slots of an instance. More of it makes urgent tasks
-    wait less and lower classes travel more.
+    With 24 slots per instance these are one and two slots. A larger share shortens
+    the wait of urgent tasks and sends more tasks of lower classes to peers.
     """
 
     far_extra_s: float = 0.002
-    """Further wait that justifies a send to another domain, in seconds.
+    """Additional wait from which a task may be sent to another failure domain, in
+    seconds.
 
-    Twice the one-way latency between domains of the slower deployment (0.9 ms).
+    Twice the one-way latency between domains in the slower deployment (0.9 ms).
     """
 
     report_trust_s: float = 5.0
-    """Age at which a peer's report counts for nothing, in seconds.
+    """Age from which a peer's report is ignored, in seconds.
 
-    Above twice the longest silence between neighbours; a peer that is not one
-    says so sooner if it has got room.
+    More than twice the longest silence between neighbours. A peer that is not a
+    neighbour sends a notice earlier if slots become free.
     """
 
     claim_share: float = 0.35
     """Share of a peer's reported free slots that one sender may claim; a ratio."""
 
     hysteresis: float = 0.7
-    """A peer's wait must be under this share of ours; a ratio."""
+    """Share of the own wait below which a peer's wait must be; a ratio."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HealthSettings:
-    """When a target is ejected; use it to build a ``TargetHealth``."""
+    """When a target is ejected; settings of ``TargetHealth``."""
 
     slow_ratio: float = 3.0
-    """Ratio to the peers' median run time that makes a task slow."""
+    """Ratio to the median run time of its method from which a task is slow."""
 
     slow_share: float = 0.5
-    """Share of slow tasks among the last ones that makes a target slow; a share.
+    """Share of slow tasks among the last ones from which a target is slow; a ratio.
 
-    Far above the share of long tasks in either user's mix.
+    Well above the share of long tasks in the workload of either deployment.
     """
 
     slow_margin: float = 0.4
-    """How far that share must be above the peers' median; a share."""
+    """Least excess of that share over the median of all targets; a ratio."""
 
     failure_share: float = 0.5
-    """Share of failed tasks that counts as failing, if peers do better."""
+    """Share of failed tasks from which a target is failing, if its peers do better;
+    a ratio."""
 
     failure_margin: float = 0.3
-    """How far the share must be above the peers' median; a share."""
+    """Least excess of that share over the median of all targets; a ratio."""
 
     min_samples: int = 4
-    """Failed tasks before a target is judged, in tasks."""
+    """Failed tasks among the last results before a target is failing, in tasks."""
 
     window: int = 8
-    """Results a target is judged by, in tasks, besides what it is running."""
+    """Last results that are evaluated besides the running tasks, in tasks."""
 
     ejected_share: float = 0.34
-    """Largest share of targets ejected or on probation at a time; a share."""
+    """Largest share of targets ejected or on probation at a time; a ratio."""
 
     ejection_s: float = 2.0
-    """First ejection, in seconds; doubled at each return to ejection."""
+    """Length of the first ejection, in seconds; doubled at each further one."""
 
     max_ejection_s: float = 60.0
     """Longest ejection, in seconds."""
 
     probation_successes: int = 4
-    """Good results in a row that end probation, in tasks."""
+    """Consecutive good results that end probation, in tasks."""
 
     probation_failures: int = 2
-    """Failed or slow tasks in a row that end it by another ejection, in tasks."""
+    """Consecutive failed or slow tasks on probation that eject again, in tasks."""
 
     tick_s: float = 0.1
-    """Least time between two judgements, in seconds."""
+    """Least time between two evaluations, in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetrySettings:
-    """How much may be tried again; use it to build a ``RetryBudget``."""
+    """Limits on retries; settings of ``RetryBudget``."""
 
     share: float = 0.1
-    """Retries earned by one success; a ratio."""
+    """Retries earned per successful task; a ratio."""
 
     burst: float = 10.0
-    """Most retries saved up, in retries."""
+    """Largest number of retries saved up."""
 
     trickle_per_s: float = 0.5
-    """Retries earned by time alone, per second, so that a quiet site may retry."""
+    """Retries earned per second regardless of results, so that an idle site may
+    retry."""
 
     max_attempts: int = 3
-    """Runs of a task in all, in attempts."""
+    """Largest number of runs of a task."""
 
     max_refused: int = 64
-    """Refused starts of a task in all: it will never fit anywhere."""
+    """Refused starts after which a task is given up, because no target fits it."""
 
     first_delay_s: float = 0.005
-    """Delay before the first retry, in seconds; doubled at each attempt."""
+    """Upper bound of the first delay, in seconds; doubled at each attempt."""
 
     max_delay_s: float = 1.0
-    """Longest delay, in seconds."""
+    """Largest upper bound of a delay, in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PolicySettings:
-    """All tunables of one instance."""
+    """All policy settings of one instance."""
 
     order: OrderSettings = field(default_factory=OrderSettings)
     """Order of queued tasks."""
 
     admission: AdmissionSettings = field(default_factory=AdmissionSettings)
-    """Refusal of submissions."""
+    """Admission control."""
 
     placement: PlacementSettings = field(default_factory=PlacementSettings)
-    """Choice of targets and peers."""
+    """Placement of tasks on targets and peers."""
 
     health: HealthSettings = field(default_factory=HealthSettings)
-    """Ejection of targets."""
+    """Outlier ejection of targets."""
 
     retries: RetrySettings = field(default_factory=RetrySettings)
-    """Second attempts."""
+    """Retries of failed tasks."""
--- a/src/cassiaturn/policy/_target_record.py
+++ b/src/cassiaturn/policy/_target_record.py
@@ -1,4 +1,4 @@
-"""What was seen of one target, and its state."""
+"""Health record of one target: its last results and its state."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -8,13 +8,13 @@
 
 
 class HealthState(Enum):
-    """How far a target is trusted."""
+    """Health of a target, which determines how many slots it may use."""
 
     HEALTHY = auto()
     """All its slots."""
 
     PROBATION = auto()
-    """One slot, until it has proved itself."""
+    """One slot, until enough tasks have succeeded."""
 
     EJECTED = auto()
     """No slot."""
@@ -22,17 +22,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Running:
-    """A task that a target has and has not ended."""
+    """A task that was started on a target and has not ended."""
 
     method: str
-    """Its method."""
+    """Full method name."""
 
     started_at: float
     """When its start was sent, in seconds."""
 
 
 class TargetRecord:
-    """Last results of one target, what it is running, and its state."""
+    """Last results of one target, its running tasks and its state."""
 
     __slots__ = (
         "bad_in_row",
@@ -70,13 +70,13 @@
             return 0.0
         return sum(self.failures) / len(self.failures)
 
-    def count(self, is_good: bool) -> None:
-        """Count a result into the present row of good or bad ones."""
+    def record_result(self, is_good: bool) -> None:
+        """Count consecutive good or bad results."""
         self.good_in_row = self.good_in_row + 1 if is_good else 0
         self.bad_in_row = 0 if is_good else self.bad_in_row + 1
 
     def forget_results(self) -> None:
-        """Start afresh; what was seen before an ejection is no proof any more."""
+        """Clear the results; those from before an ejection are out of date."""
         self.ratios.clear()
         self.failures.clear()
         self.good_in_row = 0
--- a/src/cassiaturn/policy/_targets.py
+++ b/src/cassiaturn/policy/_targets.py
@@ -1,13 +1,14 @@
-"""Choice of one of the instance's own targets.
+"""Chooses one of the instance's own targets for a task.
 
-Load pattern: a few free slots among many targets, on workers of limited
-processors, memory and accelerators. Without exact counts a start finds its slot
-taken and its answer is a wasted message; without spreading, a worker that is
-lost or slow takes more of a job with it than its share.
+Load pattern: few free slots among many targets, on workers with limited processors,
+memory and accelerators. Without exact counts a start is refused because its slot is
+taken, and both messages are wasted; without spreading, a worker that is lost or slow
+affects more than its share of a job.
 
-Grounds: the holder sees every start and end of its targets, so its counts are
-exact and no probe is needed; least share in use first is join the shortest
-queue, which late binding makes exact.
+Grounds: the instance that holds a target sees every start and end on it, so its
+counts are exact and no probe is needed. Choosing the least share in use is join the
+shortest queue, which is exact here because tasks are assigned to a target only when
+they start (late binding).
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,34 +24,34 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class TargetRow(Room):
-    """A target that this instance holds, with what is in use of it."""
+    """A target that this instance holds, with its capacity in use."""
 
     worker: str
-    """The worker it runs on."""
+    """Worker on which it runs."""
 
     slots: int
-    """Tasks it may run at a time."""
+    """Number of tasks that it may run at a time."""
 
     in_use: int = 0
-    """Tasks started and not ended, as counted here."""
+    """Number of tasks that this instance started on it and that have not ended."""
 
     connections: int
-    """Connections it accepts."""
+    """Number of connections that it accepts."""
 
     connections_in_use: int = 0
-    """Connections open, as counted here."""
+    """Number of connections in use by this instance."""
 
     methods: frozenset[str] | None = None
     """Methods that it serves; None: all."""
 
     leaving: bool = False
-    """It is to get no new work."""
+    """Whether it is draining and gets no new work."""
 
     connected: bool = True
-    """Its session is open."""
+    """Whether its session is open."""
 
     allowance: int = field(default=1 << 30)
-    """Slots that its health permits."""
+    """Number of slots that its health permits."""
 
     def fits(self, task: QueuedTask) -> bool:
         """Return whether the task may start here now."""
@@ -58,8 +59,8 @@
             return False
         if self.leaving or not self.connected:
             return False
-        # A target on probation may still fail what it is given. A task that may
-        # not be repeated would then fail its job, so only others put it to trial.
+        # A target on probation may still fail its tasks. A task that is not
+        # repeatable would then fail its job, so only repeatable ones are sent.
         if self.allowance < self.slots and not task.repeatable:
             return False
         if self.connections_in_use >= self.connections:
@@ -69,14 +70,14 @@
         return self.has(task.resources)
 
     def take(self, resources: Resources) -> None:
-        """Count a task as started."""
+        """Reserve a slot and resources for a started task."""
         self.in_use += 1
         self.occupy(resources)
 
     def give_back(self, resources: Resources) -> None:
-        """Count a task as over.
+        """Release the slot and resources of a task that has ended.
 
-        :raises AssertionError: nothing was in use; the table is broken.
+        :raises AssertionError: no slot was in use, so the counts are wrong.
         """
         if self.in_use <= 0:
             raise AssertionError(f"{self.target_id} gave back a slot it never took")
@@ -90,12 +91,12 @@
     *,
     spare_share_by_class: Mapping[RequestClass, float] = _DEFAULT_SPARE,
 ) -> TargetRow | None:
-    """Return the least loaded target that the task fits, or None.
+    """Return the least loaded target on which the task fits, or None.
 
     :param task: the task to start.
     :param targets: the instance's own targets, at most a few dozen.
     :param spare_share_by_class: share of the slots that a class leaves to higher
-        ones, unless the task may use them.
+        classes, unless ``task.may_use_spare`` is set; a ratio.
     """
     spare_share = spare_share_by_class.get(task.request_class, 0.0)
     if spare_share == 0.0 or task.may_use_spare:
--- a/src/cassiaturn/policy/tests/builders.py
+++ b/src/cassiaturn/policy/tests/builders.py
@@ -1,4 +1,4 @@
-"""Rows with defaults, for the tests of this package."""
+"""Builders of tasks, targets and peers with default values."""
 
 from typing import Any
 
--- a/src/cassiaturn/policy/tests/test_admission.py
+++ b/src/cassiaturn/policy/tests/test_admission.py
@@ -60,7 +60,7 @@
         ({}, make_load(160, peers_free_slots=200), None),
         ({"deadline_in_s": 900.0}, make_load(900), Reason.OVERLOAD),
         ({}, make_load(0, slots=0), Reason.OVERLOAD),
-        # Another tenant's excess does not count against one without a backlog.
+        # Another tenant's backlog does not delay a tenant without one.
         ({}, make_load(160, tenant_queued=0, tenant_quota_slots=8.0), None),
         (
             {"deadline_in_s": 60.0},
@@ -83,11 +83,11 @@
         assert decision.detail
 
 
-def test_refused_callers_return_spread_and_not_before_the_backlog_is_gone() -> None:
-    """A thousand callers are refused in one moment.
+def test_retry_times_are_spread_and_outlast_the_backlog() -> None:
+    """A thousand callers are refused at the same time.
 
-    Told the same time they would all return at once and be refused again; each
-    gets its own, the same whenever the same submission is refused.
+    With the same retry-after time they would all return at once and be refused
+    again. Each submission gets its own time, which repeats if it is refused again.
     """
     load = make_load(400)
     times = []
@@ -108,7 +108,7 @@
     assert decision.retry_after_s == 0.0
 
 
-def observed(admission: Admission, slots: float, seconds: int = 30) -> None:
+def observe_used_slots(admission: Admission, slots: float, seconds: int = 30) -> None:
     for second in range(seconds):
         admission.observe_run("price", NORMAL, slots)
         admission.decide(make_request(), make_load(now=float(second)))
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize(
     ("used_slots", "tenant_running", "tasks", "expected"),
     [
-        # A small job is done in time whatever else runs.
+        # A small job finishes in time whatever else runs.
         (23.0, 8, 1, None),
         (23.0, 8, 20, Reason.QUOTA),
         # Slots are left over for it.
@@ -126,16 +126,16 @@
         (23.0, 1, 20, None),
     ],
 )
-def test_large_jobs_beyond_a_quota_get_what_small_ones_leave(
+def test_large_jobs_over_quota_get_slots_that_small_jobs_leave(
     used_slots: float, tenant_running: int, tasks: int, expected: Reason | None
 ) -> None:
-    """Small jobs fill the slots, and a tenant over its quota sends a large one.
+    """Small jobs fill the slots, and a tenant over its quota sends a large job.
 
-    Counted on all slots it would be admitted, overtaken by each small job that
-    comes later, and dropped half done at its deadline.
+    Estimated on all slots, it would be admitted, overtaken by every small job that
+    arrives later, and dropped half done at its deadline.
     """
     admission = Admission(settings=AdmissionSettings())
-    observed(admission, used_slots)
+    observe_used_slots(admission, used_slots)
     load = make_load(
         24,
         now=29.5,
@@ -151,7 +151,7 @@
         assert decision.retry_after_s > 0.0
 
 
-def test_large_batch_jobs_are_not_held_to_what_is_left_over() -> None:
+def test_large_batch_jobs_over_quota_are_not_limited_to_unused_slots() -> None:
     admission = Admission(settings=AdmissionSettings())
     batch = RequestClass.BATCH
     for second in range(30):
@@ -171,9 +171,9 @@
     assert isinstance(decide(request, load, admission), Admit)
 
 
-def test_batch_work_counts_on_what_higher_classes_leave() -> None:
+def test_batch_wait_depends_on_slots_that_higher_classes_leave() -> None:
     admission = Admission(settings=AdmissionSettings())
-    observed(admission, 20.0)
+    observe_used_slots(admission, 20.0)
     batch = RequestClass.BATCH
     load = make_load(
         24, now=29.5, queued_by_class={batch: 100}, mean_run_s_by_class={batch: 0.3}
@@ -184,7 +184,7 @@
     assert decision.expected_wait_s == pytest.approx(100 * 0.3 / 4, rel=0.1)
 
 
-def test_refusal_ends_at_a_lower_load_than_it_began() -> None:
+def test_refusal_ends_at_a_lower_load_than_it_starts() -> None:
     admission = Admission(settings=AdmissionSettings())
     request = make_request()
     outcomes = [
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize(("declared", "actual"), [(3.0, 0.3), (0.03, 0.3)])
-def test_run_times_are_learnt_past_a_wrong_declaration(
+def test_learned_run_times_outweigh_a_wrong_declaration(
     declared: float, actual: float
 ) -> None:
     admission = Admission(settings=AdmissionSettings())
--- a/src/cassiaturn/policy/tests/test_fair_queue.py
+++ b/src/cassiaturn/policy/tests/test_fair_queue.py
@@ -50,11 +50,11 @@
     assert abs(served["brest"] - expected) <= 1
 
 
-def test_service_is_observed_not_declared() -> None:
-    """A tenant declares a tenth of what its tasks take.
+def test_tenants_are_charged_observed_run_times() -> None:
+    """A tenant declares a tenth of the run time of its tasks.
 
-    It gets ten times its share until the observed run times are charged; from
-    then on the other tenant is served until it has caught up.
+    It gets ten times its share until the observed run times are charged. After
+    that, the other tenant is served until it has caught up.
     """
     queue = make_queue()
     push_jobs(queue, "a", 100, tenant="accra", expected_run_s=0.1)
@@ -65,7 +65,7 @@
     assert served["brest"] >= 8
 
 
-def test_a_hot_caller_leaves_the_others_of_its_tenant_their_share() -> None:
+def test_a_hot_caller_does_not_starve_others_of_its_tenant() -> None:
     queue = make_queue()
     push_jobs(queue, "hot", 500, caller="hot")
     push_jobs(queue, "calm", 5, caller="calm")
@@ -73,7 +73,7 @@
     assert served["calm"] == 5
 
 
-def test_short_jobs_pass_a_long_one() -> None:
+def test_short_jobs_overtake_a_long_one() -> None:
     queue = make_queue()
     for index in range(100):
         queue.push(make_task("long", index, job_remaining=100))
@@ -108,7 +108,7 @@
     assert served[RequestClass.BATCH] >= 0.03 * len(popped)
 
 
-def test_a_method_without_a_free_target_does_not_hide_the_others() -> None:
+def test_a_method_without_a_free_target_does_not_block_others() -> None:
     queue = make_queue()
     push_jobs(queue, "a", 100, method="train", caller="one")
     push_jobs(queue, "b", 1, method="price", caller="two")
@@ -127,7 +127,7 @@
     assert len(queue) == 100
 
 
-def test_a_blocked_tenant_is_passed_over_and_keeps_its_place() -> None:
+def test_a_blocked_tenant_is_skipped_and_keeps_its_position() -> None:
     queue = make_queue()
     push_jobs(queue, "a", 2, tenant="accra")
     push_jobs(queue, "b", 2, tenant="brest")
@@ -137,7 +137,7 @@
     assert [task.tenant for task in pop_all(queue, 3)] == ["accra", "accra", "brest"]
 
 
-def test_peek_names_what_pop_returns() -> None:
+def test_peek_returns_the_task_that_pop_removes() -> None:
     queue = make_queue()
     push_jobs(queue, "s", 5, tenant="accra")
     push_jobs(queue, "t", 5, tenant="brest")
@@ -156,7 +156,7 @@
     assert [task.key.submission_id for task in pop_all(queue, 2)] == ["small"]
 
 
-def test_expired_tasks_are_told_once_and_never_started() -> None:
+def test_expired_tasks_are_reported_once_and_never_started() -> None:
     queue = make_queue()
     queue.push(make_task("late", start_by=1.0))
     queue.push(make_task("good", start_by=9.0))
@@ -167,10 +167,10 @@
     assert queue.expire(2.0) == []
 
 
-def test_rows_of_callers_and_jobs_do_not_pile_up() -> None:
-    """Ten thousand callers each send one task and leave.
+def test_idle_callers_and_finished_jobs_are_dropped() -> None:
+    """Ten thousand callers each send one task and disconnect.
 
-    A row kept for each of them would fill a host of 32 MB within minutes.
+    A record kept for each caller would fill a host of 32 MB within minutes.
     """
     queue = make_queue()
     for index in range(10_000):
@@ -178,16 +178,16 @@
         task = queue.pop(now=0.0)
         assert task is not None
         charge(queue, task, 0.3)
-    lane = queue._lanes.lanes_by_class[RequestClass.NORMAL]
-    assert len(lane.tenants_by_name["accra"].callers_by_name) < 10
+    class_queue = queue._class_queues.queues_by_class[RequestClass.NORMAL]
+    assert len(class_queue.tenants_by_name["accra"].callers_by_name) < 10
     assert not queue._jobs_by_id
 
 
-def test_a_class_that_is_owed_service_may_use_spare_slots() -> None:
-    """Urgent work fills all slots but those that lower classes may not take.
+def test_a_class_with_credit_may_use_reserved_slots() -> None:
+    """Urgent work fills all slots except those that lower classes may not use.
 
-    Were the slots kept in force, the floor of the lower classes would exist on
-    paper only and batch work would never start.
+    If the reservation still held, the minimum share of the lower classes would
+    have no effect and batch work would never start.
     """
     queue = make_queue()
     for request_class in (RequestClass.URGENT, RequestClass.BATCH):
--- a/src/cassiaturn/policy/tests/test_health.py
+++ b/src/cassiaturn/policy/tests/test_health.py
@@ -46,11 +46,11 @@
         return [self.health.state_of(target) for target in self.targets]
 
 
-def test_a_slow_target_is_ejected_and_comes_back_once_it_is_well() -> None:
-    """A target slows down ten times, then recovers.
+def test_a_slow_target_is_ejected_and_returns_after_recovery() -> None:
+    """A target becomes ten times slower, then recovers.
 
-    Callers see jobs wait for it until it is ejected; after its term it gets one
-    task at a time, and all its slots when those were good.
+    Jobs wait for it until it is ejected. After the ejection it gets one task at a
+    time, and all its slots once those tasks had good results.
     """
     pool = Pool()
     pool.run(1.0)
@@ -61,7 +61,7 @@
     assert pool.states()[0] is HealthState.HEALTHY
 
 
-def test_a_target_that_answers_nothing_is_judged_by_what_it_still_runs() -> None:
+def test_a_target_without_results_is_ejected_for_overdue_tasks() -> None:
     pool = Pool()
     pool.run(1.0)
     for index in range(8):
@@ -84,10 +84,10 @@
 def test_a_common_cause_ejects_no_more_than_the_cap(
     slow: Callable[[str], float],
 ) -> None:
-    """A hot key or a slow store slows many targets at once.
+    """A hot key or a slow store slows many targets down at once.
 
-    Ejecting them all would leave nothing to run on, and callers would be
-    refused on workers that still work.
+    Ejecting them all would leave no slots, and callers would be refused although
+    the workers still work.
     """
     pool = Pool()
     pool.run(1.0)
@@ -96,14 +96,14 @@
 
 
 @pytest.mark.parametrize("targets", [2, 3, 8])
-def test_a_target_that_keeps_failing_goes_from_probation_back_at_once(
+def test_a_target_that_fails_on_probation_is_ejected_again(
     targets: int,
 ) -> None:
-    """A worker fails everything for half a minute.
+    """A worker fails every task for half a minute.
 
-    Each trial costs the callers of the tasks that it gets. With two or three
-    targets it takes all the room of the cap itself, which must not keep it on
-    probation; its trials get rarer and end after two failures.
+    Each probation fails tasks of callers, so it must end after two failures and
+    become rarer. With two or three targets, this target alone fills the cap on
+    ejections, which must not keep it on probation.
     """
     pool = Pool(targets=targets)
     pool.run(1.0)
@@ -121,19 +121,19 @@
     assert set(pool.states()) == {HealthState.HEALTHY}
 
 
-def test_a_few_long_tasks_are_no_slowness() -> None:
+def test_a_few_long_tasks_do_not_make_a_target_slow() -> None:
     pool = Pool()
     pool.run(1.0)
-    long_every_fifth = iter(range(10_000))
-    pool.run(3.0, run_s=lambda _: 3.0 if next(long_every_fifth) % 5 == 0 else 0.1)
+    numbers = iter(range(10_000))
+    pool.run(3.0, run_s=lambda _: 3.0 if next(numbers) % 5 == 0 else 0.1)
     assert set(pool.states()) == {HealthState.HEALTHY}
 
 
 def test_long_tasks_on_every_target_eject_none() -> None:
     """Half of all tasks use a hot key and take ten times as long.
 
-    Every target looks slow by its own results; none is slower than its peers,
-    and ejecting any would only take slots away from the callers.
+    Every target looks slow by its own results, but none is slower than its peers.
+    Ejecting any would only remove slots.
     """
     pool = Pool()
     pool.run(1.0)
@@ -153,7 +153,7 @@
     assert health.state_of("r0") is HealthState.HEALTHY
 
 
-def test_a_lost_target_and_unknown_ones_are_taken_in() -> None:
+def test_events_of_lost_and_unknown_targets_are_accepted() -> None:
     health = TargetHealth(settings=HealthSettings())
     health.add("r0", 8)
     health.started("r0", TaskKey("s", 0), "price", 0.0)
--- a/src/cassiaturn/policy/tests/test_notices.py
+++ b/src/cassiaturn/policy/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Whom an instance tells that it has room."""
+"""Which peers an instance notifies of its free slots."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 NOW = 100.0
 
 
-def peer(name: str, *, queued: int = 5, domain: str = "osu") -> PeerRow:
+def make_peer(name: str, *, queued: int = 5, domain: str = "osu") -> PeerRow:
     return PeerRow(
         instance_id=name,
         incarnation=name,
@@ -22,22 +22,22 @@
 
 
 @pytest.mark.parametrize(
-    ("free_slots", "queued", "peer_queued", "told"),
+    ("free_slots", "queued", "peer_queued", "reported"),
     [(2, 0, 5, 0), (9, 1, 5, 0), (9, 0, 0, 0), (9, 0, 5, 9)],
 )
 def test_a_notice_that_nobody_can_use_is_not_sent(
-    free_slots: int, queued: int, peer_queued: int, told: int
+    free_slots: int, queued: int, peer_queued: int, reported: int
 ) -> None:
     notices = FreeSlotNotices(failure_domain="osu")
-    notices.record_sent("a", told)
-    peers = [peer("a", queued=peer_queued)]
+    notices.record_sent("a", reported)
+    peers = [make_peer("a", queued=peer_queued)]
     due = notices.due(free_slots=free_slots, queued=queued, peers=peers, now=NOW)
     assert not due
 
 
-def test_near_peers_are_told_first_and_not_again_at_once() -> None:
+def test_near_peers_are_notified_first_and_once_per_interval() -> None:
     notices = FreeSlotNotices(failure_domain="osu")
-    peers = [peer("far", domain="tema"), peer("near")]
+    peers = [make_peer("far", domain="tema"), make_peer("near")]
     for name in ("far", "near"):
         notices.record_sent(name, 0)
     assert notices.due(free_slots=3, queued=0, peers=peers, now=NOW) == ["near"]
--- a/src/cassiaturn/policy/tests/test_placement.py
+++ b/src/cassiaturn/policy/tests/test_placement.py
@@ -40,13 +40,13 @@
 
 
 @pytest.mark.parametrize(("repeatable", "fits"), [(True, True), (False, False)])
-def test_only_repeatable_tasks_put_a_target_to_trial(
+def test_only_repeatable_tasks_start_on_a_target_on_probation(
     repeatable: bool, fits: bool
 ) -> None:
-    """A target on probation, with an allowance below its slots, is offered work.
+    """A target on probation, with an allowance below its slots, is free.
 
-    It may still fail it. A deck order that may run only once would fail its
-    whole job, so it goes elsewhere.
+    It may still fail tasks. A failed deck order must not run again, so its whole
+    job would fail; it goes to another target.
     """
     task = make_task(repeatable=repeatable)
     assert (choose_target(task, [make_target(allowance=1)]) is not None) is fits
@@ -71,7 +71,7 @@
     assert [target.in_use for target in targets] == [2, 2, 2, 2]
 
 
-def test_giving_back_a_slot_never_taken_is_a_broken_invariant() -> None:
+def test_giving_back_a_slot_that_was_not_taken_raises() -> None:
     with pytest.raises(AssertionError, match="never took"):
         make_target().give_back(Resources())
 
@@ -85,7 +85,7 @@
         (RequestClass.BATCH, True, True),
     ],
 )
-def test_the_last_free_slot_is_left_to_urgent_work(
+def test_the_last_free_slot_is_reserved_for_urgent_work(
     request_class: RequestClass, may_use_spare: bool, fits: bool
 ) -> None:
     targets = [make_target("r0", in_use=7), make_target("r1", in_use=8)]
@@ -102,17 +102,17 @@
         (make_peer(free_slots=2), True),
         (make_peer(free_slots=4, ready=False), True),
         (make_peer(free_slots=4, reported_at=-5.0), True),
-        # Our own sends took the slots; the peer did report room.
+        # The peer reported free slots, which own sends have claimed since.
         (make_peer(free_slots=0, claimed=4), False),
     ],
 )
-def test_spare_slots_are_used_once_no_peer_reports_room(
+def test_reserved_slots_are_used_when_no_peer_reports_free_slots(
     peer: PeerRow, expected: bool
 ) -> None:
-    """Every instance is full but for the slots kept for urgent work.
+    """Every instance is full except for the slots reserved for urgent work.
 
-    Kept on, they would idle through an overload and callers would be refused
-    work that there are slots for; the task that found no peer takes one.
+    If they stayed reserved, they would be idle during an overload and callers
+    would be refused although slots are free. The task without a peer takes one.
     """
     placement = Placement(settings=PlacementSettings(), failure_domain="osu")
     task = make_task(request_class=RequestClass.BATCH)
@@ -148,22 +148,24 @@
         ([make_peer(failure_domain="tema"), make_peer("i1")], 0.5, "i1"),
     ],
 )
-def test_peers(peers: list[PeerRow], own_wait_s: float, expected: str | None) -> None:
+def test_choice_of_peer(
+    peers: list[PeerRow], own_wait_s: float, expected: str | None
+) -> None:
     assert choose(peers, own_wait_s) == expected
 
 
-def test_urgent_work_leaves_earlier() -> None:
+def test_urgent_work_is_sent_to_peers_earlier() -> None:
     peers = [make_peer()]
     assert choose(peers, 0.002, request_class=RequestClass.URGENT) == "i0"
     assert choose(peers, 0.002, request_class=RequestClass.NORMAL) is None
     assert choose(peers, 0.002, request_class=RequestClass.BATCH) is None
 
 
-def test_no_more_is_sent_than_one_sender_may_claim() -> None:
+def test_a_sender_claims_only_a_share_of_the_free_slots() -> None:
     """Several instances see the same free slots in the same heartbeat.
 
-    If each sent as many tasks as it saw slots, all but one of them would find
-    the slots taken; a sender stops at its part until the next report.
+    If each sent as many tasks as there are free slots, all but one of them would
+    find the slots taken. A sender stops at its share until the next report.
     """
     peer = make_peer(free_slots=8)
     sent = 0
--- a/src/cassiaturn/policy/tests/test_queue_machine.py
+++ b/src/cassiaturn/policy/tests/test_queue_machine.py
@@ -35,7 +35,7 @@
 
 
 class Accounting(RuleBasedStateMachine):
-    """Random traffic over the queue and two targets."""
+    """Random operations on the queue and two targets; the counts must agree."""
 
     running = Bundle("running")
 
@@ -127,7 +127,8 @@
     def cancel(self, data: st.DataObject) -> None:
         ids = sorted({task.key.submission_id for task in self.queued.values()})
         submission_id = data.draw(st.sampled_from([*ids, "none"]))
-        # A task that a search found expired has left; expire() names it next.
+        # A task that a search found expired has left the queue; the next expire()
+        # returns it.
         expired = {id(task) for task in self.queue._expired}
         gone = [
             key
@@ -150,7 +151,7 @@
 
     @invariant()
     def counts_agree(self) -> None:
-        # Tasks that a search found expired wait for the next expire().
+        # The next expire() returns the tasks that a search found expired.
         pending = len(self.queue._expired)
         assert len(self.queue) + pending == len(self.queued)
         assert sum(self.queue.queued_by_class().values()) == len(self.queue)
--- a/src/cassiaturn/policy/tests/test_quota.py
+++ b/src/cassiaturn/policy/tests/test_quota.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 
 from cassiaturn.policy import next_quota_part, split_quota
-from cassiaturn.policy._quota import GROWTH
+from cassiaturn.policy._quota import MAX_GROWTH
 
 DEMANDS = st.dictionaries(
     st.sampled_from([f"i{index}" for index in range(9)]),
@@ -37,10 +37,10 @@
 def test_the_sum_overshoots_by_a_bounded_factor_while_views_differ(
     views: list[dict[str, int]],
 ) -> None:
-    """Demand moves, and half the instances see it one step late.
+    """Demand changes, and half of the instances see it one step late.
 
-    Each counts on the part that the other has not given up yet, so for a step
-    more runs than the quota allows; growth in small steps bounds by how much.
+    An instance then uses a part that another has not given up yet, so for one step
+    the parts exceed the quota. The limit on growth bounds by how much.
     """
     instances = [f"i{index}" for index in range(9)]
     parts = dict.fromkeys(instances, 0.0)
@@ -55,4 +55,4 @@
                 current_slots=parts[name],
             )
         earlier = latest
-        assert sum(parts.values()) <= 100.0 * (1 + len(instances) * GROWTH) + 1e-6
+        assert sum(parts.values()) <= 100.0 * (1 + len(instances) * MAX_GROWTH) + 1e-6
--- a/src/cassiaturn/policy/tests/test_retries.py
+++ b/src/cassiaturn/policy/tests/test_retries.py
@@ -44,10 +44,10 @@
 
 
 def test_when_everything_fails_retries_end_with_the_budget() -> None:
-    """Every target fails at once and thousands of tasks want another start.
+    """Every target fails at once, and thousands of tasks ask for another start.
 
-    Without a bound the load would be tripled just then; only what earlier
-    successes saved up is tried again.
+    Without a budget the load would triple at that time. Only the retries saved up
+    by earlier successes are allowed.
     """
     budget = RetryBudget(settings=SETTINGS)
     assert fail(budget, 10_000) == SETTINGS.burst
@@ -64,7 +64,7 @@
     assert retries == pytest.approx(1000 * SETTINGS.share, abs=2)
 
 
-def test_a_quiet_site_earns_retries_by_time() -> None:
+def test_an_idle_site_earns_retries_over_time() -> None:
     budget = RetryBudget(settings=SETTINGS)
     fail(budget, 100)
     assert fail(budget, 10, now=4.0) == 4.0 * SETTINGS.trickle_per_s
