--- a/src/cassiaturn/fleet/_target_link.py
+++ b/src/cassiaturn/fleet/_target_link.py
@@ -263,15 +263,13 @@
         problem = await self._fetch_list(
             wait_s=wait_s, renew=renew, timeout_s=wait_s + timeout_s
         )
-        if isinstance(problem, NoAnswer) and await self._answers_after_timeout(
-            asked_at
-        ):
+        if isinstance(problem, NoAnswer) and await self._still_answers(asked_at):
             return
         if problem is not None:
             self._handle_problem(problem)
             await self._pause_after(problem)
 
-    async def _answers_after_timeout(self, asked_at: float) -> bool:
+    async def _still_answers(self, asked_at: float) -> bool:
         """Return whether the target is alive although it left a request unanswered.
 
         Single answers may be lost while the target is working. If one lost answer made
@@ -292,19 +290,17 @@
         self._events.on_unanswered(self.authority.target_id)
         return await self._retry_list(1)
 
-    async def _retry_list(self, attempts: int) -> bool:
+    async def _retry_list(self, retries: int) -> bool:
         """Request a list again until one arrives.
 
-        The last attempt has the full timeout. If all answers suddenly become slower,
+        The last retry has the full timeout. If all answers suddenly become slower,
         timeouts derived from earlier answers alone would make every target count as
         silent.
 
-        :param attempts: maximum number of requests.
+        :param retries: maximum number of requests.
         :returns: whether a list arrived.
         """
-        timeouts_s = [self._answer_time.timeout_s(LIST_RETRY_TIMEOUT_S)] * (
-            attempts - 1
-        )
+        timeouts_s = [self._answer_time.timeout_s(LIST_RETRY_TIMEOUT_S)] * (retries - 1)
         for timeout_s in [*timeouts_s, LIST_RETRY_TIMEOUT_S]:
             problem = await self._fetch_list(
                 wait_s=0.0, renew=False, timeout_s=timeout_s
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -101,13 +101,11 @@
             is_later = holder is not None and holder.token > leadership.token
             if holder is not None and is_later and await self._is_reachable(holder):
                 return holder
-            is_blocked = holder in (leadership, None) and bool(
-                self._leader.superseded_ids
-            )
-            checks = checks + 1 if is_blocked else 0
+            blocked = holder in (leadership, None) and bool(self._leader.superseded_ids)
+            checks = checks + 1 if blocked else 0
             if checks > CHECKS_BEFORE_RAISE:
                 await self._raise_token(terms=1 << (checks - 2))
-            elif is_blocked and await self._announce(leadership):
+            elif blocked and await self._announce(leadership):
                 # Check again at once: the row is written only twice a second, and
                 # callers wait for targets that obey another leader.
                 continue
--- a/src/cassiaturn/fleet/tests/test_target_link.py
+++ b/src/cassiaturn/fleet/tests/test_target_link.py
@@ -29,8 +29,12 @@
 REF = TaskRef("5c0e7a21d94b36f8", 0, 0, 0)
 
 
-class Calls:
-    """A fake target: ``answers`` tells which lists arrive, starts get given answers."""
+class FakeTargetCalls:
+    """A target that answers or loses list requests as a test says.
+
+    :param answers: whether each list arrives; the last value repeats.
+    :param start_answers: answers to the start orders.
+    """
 
     def __init__(
         self, answers: list[bool], start_answers: tuple[StartAnswer, ...] = ()
@@ -46,9 +50,9 @@
     async def renew(
         self, *args: object, timeout_s: float, **options: object
     ) -> Result[LeaseReport, CallProblem]:
-        comes = self._answers[min(self.asked, len(self._answers) - 1)]
+        arrives = self._answers[min(self.asked, len(self._answers) - 1)]
         self.asked += 1
-        if not comes or self.answer_s > timeout_s:
+        if not arrives or self.answer_s > timeout_s:
             await asyncio.sleep(timeout_s)
             return Failure(NoAnswer(detail="lost"))
         await asyncio.sleep(self.answer_s)
@@ -71,7 +75,7 @@
         return StartReply(answer=answer, clock_ms=clock_ms)
 
 
-class Events:
+class RecordedEvents:
     """Records the events of a link."""
 
     def __init__(self) -> None:
@@ -124,8 +128,8 @@
     at any time, and callers would wait for their deadlines while workers are idle. Two
     losses in a row count as a network partition.
     """
-    calls = Calls(answers)
-    events = Events()
+    calls = FakeTargetCalls(answers)
+    events = RecordedEvents()
     link = _link(calls, events)
     await link._renew()
     assert events.silent == silent
@@ -150,8 +154,8 @@
     reported its runs. With a single request, waiting for one lost list took so long
     that the jobs were given up.
     """
-    calls = Calls(answers)
-    events = Events()
+    calls = FakeTargetCalls(answers)
+    events = RecordedEvents()
     link = _link(calls, events)
     began_at = time.monotonic()
     await link._fetch_first_list()
@@ -163,8 +167,8 @@
 
 async def test_target_with_another_answer_meanwhile_is_not_silent() -> None:
     """A list is lost, and an order sent after its request is answered."""
-    calls = Calls([False])
-    events = Events()
+    calls = FakeTargetCalls([False])
+    events = RecordedEvents()
     link = _link(calls, events)
     renewing = asyncio.ensure_future(link._renew())
     await asyncio.sleep(0.02)
@@ -210,8 +214,8 @@
     that counted as a start that never happened, the task would be started elsewhere and
     run twice at the same time.
     """
-    calls = Calls([True], answers)
-    events = Events()
+    calls = FakeTargetCalls([True], answers)
+    events = RecordedEvents()
     link = _link(calls, events)
     await link._start(StartOrder(target_id="t", ref=REF, number=65, payload="x"))
     assert events.start_answers == [expected]
@@ -225,8 +229,8 @@
     Until then free slots look occupied: with periodic lists at a third of a second,
     tasks of 60 ms use a fifth of their target.
     """
-    calls = Calls([True, False, True])
-    link = _link(calls, Events())
+    calls = FakeTargetCalls([True, False, True])
+    link = _link(calls, RecordedEvents())
     for _ in range(3):
         await link._renew()
     requests_before = calls.asked
@@ -237,8 +241,8 @@
 
 async def test_unreachable_target_does_not_count_as_lost_answers() -> None:
     """A target is unreachable. Polling all others more often would only cost time."""
-    calls = Calls([False], (UNANSWERED, UNANSWERED, UNANSWERED))
-    link = _link(calls, Events())
+    calls = FakeTargetCalls([False], (UNANSWERED, UNANSWERED, UNANSWERED))
+    link = _link(calls, RecordedEvents())
     await link._renew()
     await link._start(StartOrder(target_id="t", ref=REF, number=65, payload="x"))
     assert not link._answer_loss.is_lossy(time.monotonic())
@@ -249,11 +253,11 @@
 
     With the timeout that a loaded host needs, three of four such jobs are late.
     """
-    calls = Calls(
+    calls = FakeTargetCalls(
         [True],
         (UNANSWERED, StartAnswer.STARTED, UNANSWERED, UNANSWERED, StartAnswer.STARTED),
     )
-    link = _link(calls, Events())
+    link = _link(calls, RecordedEvents())
     for _ in range(50):
         link._answer_time.observe(0.004)
     order = StartOrder(target_id="t", ref=REF, number=65, payload="x")
@@ -277,8 +281,8 @@
     If two losses made a target count as silent, with a pause after each, one target in
     three would get no starts at any time, and callers would wait for idle workers.
     """
-    events = Events()
-    link = _link(Calls(answers), events)
+    events = RecordedEvents()
+    link = _link(FakeTargetCalls(answers), events)
     link._answer_loss.record_loss(time.monotonic())
     began_at = time.monotonic()
     await link._renew()
@@ -307,9 +311,9 @@
     With timeouts derived from earlier answers, every target would count as silent at
     once, and no jobs would complete until answers no longer count as lossy.
     """
-    calls = Calls([True])
+    calls = FakeTargetCalls([True])
     calls.answer_s = 0.06
-    events = Events()
+    events = RecordedEvents()
     link = _link(calls, events)
     for _ in range(100):
         link._answer_time.observe(0.003)
@@ -325,8 +329,8 @@
 
     If it were not restarted, ended runs would be reported late for another second.
     """
-    calls = Calls([True])
-    link = _link(calls, Events())
+    calls = FakeTargetCalls([True])
+    link = _link(calls, RecordedEvents())
     link._answer_loss.record_loss(time.monotonic())
     lost_answer = asyncio.get_running_loop().create_future()
     link._long_poll = asyncio.ensure_future(asyncio.wait_for(lost_answer, 5.0))
@@ -339,8 +343,8 @@
 
 
 async def test_lists_are_not_requested_more_often_without_losses() -> None:
-    calls = Calls([True])
-    link = _link(calls, Events())
+    calls = FakeTargetCalls([True])
+    link = _link(calls, RecordedEvents())
     for _ in range(3):
         await link._renew()
     link.tick(time.monotonic() + LOSSY_RENEW_PERIOD_S)
@@ -348,7 +352,7 @@
     assert calls.asked == 3
 
 
-def _link(calls: Calls, events: Events) -> TargetLink:
+def _link(calls: FakeTargetCalls, events: RecordedEvents) -> TargetLink:
     return TargetLink(
         authority=Authority(target_id="t", address="127.0.0.1:1", token=1),
         calls=calls,  # type: ignore[arg-type]
