--- a/src/cassiaturn/policy/_targets.py
+++ b/src/cassiaturn/policy/_targets.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class TargetRow(Room):
+class TargetRow(TargetResources):
     """A target that this instance holds, with its capacity in use."""
 
     worker: str
