--- a/src/cassiaturn/sharing/__init__.py
+++ b/src/cassiaturn/sharing/__init__.py
@@ -1,7 +1,8 @@
-"""Decisions on workers that tasks share by what each takes: no network, no clock.
+"""Scheduling decisions for targets whose workers several tasks share.
 
-A leader's queue, its choice of targets and what it concludes from their runs. The
-decisions of the other deployment, on slots and tenants, are in `cassiaturn.policy`.
+Covers a leader's job queue, its choice of targets and what it learns from runs. The
+functions use no network and no clock. The corresponding decisions of the other
+deployment, which counts slots and tenants, are in `cassiaturn.policy`.
 """
 
 from cassiaturn.sharing._cpu_headroom import CpuHeadroom
--- a/src/cassiaturn/sharing/_cpu_headroom.py
+++ b/src/cassiaturn/sharing/_cpu_headroom.py
@@ -1,46 +1,49 @@
-"""Whether a leader's process has time to spare for precautions.
+"""Whether a leader's process has processor time left for optional precautions.
 
-Load pattern: a leader near the limit of its processor, above all just after it began,
-when every member joins and the callers of an outage come at once. A message more for
-each job then costs all callers more than it saves those of the next fault.
+Load pattern: a leader near its processor limit, above all just after it took over, when
+every member joins and the callers that waited through an outage arrive together. One
+extra message per job then delays all callers by more than it saves those affected by
+the next fault.
 
-Grounds: timers of a process that is mostly idle are on time, on a host of any size. A
-burst is seen sooner by the processor time that it takes than by timers that are late.
+Grounds: the timers of a mostly idle process fire on time, whatever the size of its
+host. The processor time used shows a burst earlier than late timers do.
 """
 
 LATE_S = 0.004
 """Lateness of a timer from which the process counts as busy, in seconds."""
 
-CALM_TIMERS = 20
-"""Timers in a row that must be on time: a second of them."""
+MIN_PUNCTUAL_TIMERS = 20
+"""Consecutive timers that must be on time: one second of them."""
 
 
 BUSY_SHARE = 0.4
-"""Share of a core that the process uses from which it counts as busy."""
+"""Share of a core in use by the process from which it counts as busy."""
 
-FOLLOW = 0.25
-"""Weight of the last timer's share: about the last four count, a fifth of a second."""
+SMOOTHING_WEIGHT = 0.25
+"""Weight of the latest sample in the moving average of the processor share: it spans
+about four timers, a fifth of a second."""
 
 
 class CpuHeadroom:
-    """Learns from timers of the event loop whether there is time to spare."""
+    """Learns from event loop timers whether the process has processor time left."""
 
     def __init__(self) -> None:
-        """Begin as busy: nothing is known yet."""
-        self._in_time = 0
-        self._share = 0.0
+        """Start as busy, since nothing has been observed."""
+        self._punctual_timers = 0
+        self._cpu_share = 0.0
 
     @property
     def is_available(self) -> bool:
-        """Whether there is time to spare."""
-        return self._in_time >= CALM_TIMERS
+        """Whether there is processor time left."""
+        return self._punctual_timers >= MIN_PUNCTUAL_TIMERS
 
-    def observe(self, late_s: float, share: float) -> None:
-        """Take in a timer.
+    def observe(self, late_s: float, cpu_share: float) -> None:
+        """Add the sample of one timer.
 
         :param late_s: by how much it fired late, in seconds.
-        :param share: of a core, that the process used since the timer before, 0 to 1.
+        :param cpu_share: share of a core that the process used since the previous
+            timer, 0 to 1.
         """
-        self._share += FOLLOW * (share - self._share)
-        is_busy = late_s >= LATE_S or self._share >= BUSY_SHARE
-        self._in_time = 0 if is_busy else self._in_time + 1
+        self._cpu_share += SMOOTHING_WEIGHT * (cpu_share - self._cpu_share)
+        is_busy = late_s >= LATE_S or self._cpu_share >= BUSY_SHARE
+        self._punctual_timers = 0 if is_busy else self._punctual_timers + 1
--- a/src/cassiaturn/sharing/_deadlines.py
+++ b/src/cassiaturn/sharing/_deadlines.py
@@ -1,12 +1,12 @@
-"""Until when the answer to a job is worth what to its caller.
+"""Deadlines of a job: when its answer is due, still useful, and no longer awaited.
 
-Load pattern: callers that wait for seconds, several times as long as their routes'
-objectives allow, while leaders, targets and power are lost. One number for all three
-deadlines ends jobs whose callers still wait, or lets jobs that are of no use any more
-take the places of others.
+Load pattern: callers wait for seconds, several times as long as their routes'
+latency objectives, while leaders, targets and power are lost. With one number for all
+three deadlines, either jobs are ended whose callers still wait, or jobs that are of no
+more use take the capacity of others.
 
-Grounds: the objective grows with the job's own length and comes from its route; how
-long a caller waits only the caller knows. A route's timeout bounds neither.
+Grounds: the objective grows with the job's own length and comes from its route. Only
+the caller knows how long it waits. The timeout of a route bounds neither.
 """
 
 from collections.abc import Sequence
@@ -15,21 +15,21 @@
 from cassiaturn.entities import Route, TaskGroup
 
 LATE_FACTOR = 3.0
-"""Multiple of its objective up to which the answer to a job is of use, though late."""
+"""Multiple of its objective up to which a late answer is still useful."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Deadlines:
-    """Three points in time of one job, in seconds, in this order."""
+    """Three points in time of one job, in seconds, in ascending order."""
 
     due_at: float
-    """Until when its answer is as good as an immediate one."""
+    """Until when its answer counts as in time."""
 
     useful_until: float
-    """Until when its answer is of use, though late."""
+    """Until when its answer is late but still useful."""
 
     limit_at: float
-    """When its caller stops waiting. Until then an answer is better than none."""
+    """When its caller stops waiting; until then any answer is better than none."""
 
 
 def job_deadlines(
@@ -37,7 +37,7 @@
 ) -> Deadlines:
     """Return the deadlines of a job.
 
-    :param route: says what its objective is.
+    :param route: defines the latency objective.
     :param arrived_at: when its caller sent it, in seconds.
     :param chain_s: expected length of its longest chain of tasks, in seconds.
     :param limit_at: when its caller stops waiting, in seconds.
@@ -51,7 +51,7 @@
 
 
 def longest_chain_s(groups: Sequence[TaskGroup], runs_s: Sequence[float]) -> float:
-    """Return the length of the longest chain of groups, in seconds.
+    """Return the length of the critical path through the groups, in seconds.
 
     :param runs_s: expected run time of a task of each group, in seconds.
     """
--- a/src/cassiaturn/sharing/_due_order.py
+++ b/src/cassiaturn/sharing/_due_order.py
@@ -1,17 +1,18 @@
-"""Order of jobs that wait for room.
-
-Load pattern: more work than places, in kinds of different urgency, each with a
-time after which its answer is worth less; above all the second after an outage, when
-the callers of the outage come at once, most of them late already. In order of arrival
-the short urgent jobs wait behind long ones and are all late; by priority alone the
-late urgent jobs take the places of others that could be in time.
-
-Grounds: a late answer is worth a fifth of one in time, and one that is later still is
-worth only that its caller has it. So what can be in time goes first, then what can be
-of use, and the rest is served where nobody else wants the room. Among those, strict
-priority, since operators set it to say who goes first. Within one priority jobs that
-have begun go first, since their other tasks hold places for nothing until the last one
-is done; then the earliest time due, which is optimal while all can be in time.
+"""Order of the jobs that wait for capacity.
+
+Load pattern: more work than capacity, in kinds of different urgency, each with a time
+after which its answer is worth less. The extreme case is the second after an outage,
+when its callers arrive together and most of their jobs are late already. In order of
+arrival, short urgent jobs wait behind long ones and are all late. By priority alone,
+urgent jobs that are already late take the capacity of others that could be in time.
+
+Grounds: a late answer is worth a fifth of one in time, and an even later one only ends
+its caller's wait. So jobs that can be in time go first, then those that can still be
+useful, and the rest run where nobody else needs the capacity. Within each of these
+classes priority is strict, since operators set it to say who goes first.
+Within one priority, jobs that have started go first, since their other tasks hold
+resources for nothing until the last one is done. Then comes the earliest due time,
+which is optimal while all jobs can be in time.
 """
 
 from enum import IntEnum
@@ -21,44 +22,45 @@
 
 from cassiaturn.sharing._deadlines import Deadlines
 
-MARGIN_S = 0.02
-"""Time kept for the ways of orders and of the answer, in seconds. Without it the jobs
-that are due first start at their last moment each, and all are late by a little."""
+TRANSFER_MARGIN_S = 0.02
+"""Time reserved for sending the orders and the answer, in seconds. Without it the jobs
+that are due first each start at the last possible moment, and all are slightly late."""
 
 _HASH_RANGE = float(1 << 64)
 
-RETRY_SPREAD = 1.0
-"""Length of the interval over which refused callers come back, as a multiple of
-the advice: those refused in one burst return over the time that it took."""
+RETRY_JITTER = 1.0
+"""Length of the interval over which the retries of refused callers are spread, as a
+multiple of the advised delay: those refused in one burst return over the time that it
+took."""
 
 
 class Lateness(IntEnum):
-    """What a job that starts now can expect."""
+    """What answer a job can expect if it starts now."""
 
     IN_TIME = 0
-    """An answer that is due."""
+    """An answer that is in time."""
 
     LATE = 1
-    """One that is of use, though late."""
+    """An answer that is late but still useful."""
 
     PAST_USE = 2
-    """One that its caller gets, and no more."""
+    """An answer that its caller gets, but that is no longer useful."""
 
 
 class OrderKey(NamedTuple):
-    """Place in the queue; the lowest goes first."""
+    """Sort key of a job in the queue; the lowest goes first."""
 
     lateness: Lateness
-    """What it can expect."""
+    """What answer it can expect."""
 
     priority: int
-    """Of its route; 0 goes first."""
+    """Priority of its route; 0 is the most urgent."""
 
     is_new: bool
     """Whether none of its tasks has started."""
 
     due_at: float
-    """When it is due, in seconds."""
+    """When its answer is due, in seconds."""
 
 
 def order_key(
@@ -69,12 +71,12 @@
     is_new: bool,
     now: float,
 ) -> OrderKey:
-    """Return the place of a job in the queue.
+    """Return the sort key of a job in the queue.
 
-    :param priority: of its route; 0 goes first.
-    :param expected_run_s: expected length of its longest chain, in seconds.
+    :param priority: priority of its route; 0 is the most urgent.
+    :param expected_run_s: expected length of its longest chain of tasks, in seconds.
     :param is_new: whether none of its tasks has started.
-    :param now: time in seconds.
+    :param now: current time in seconds.
     """
     late_from, past_use_from = lateness_changes(deadlines, expected_run_s)
     if now <= late_from:
@@ -89,22 +91,22 @@
 def lateness_changes(
     deadlines: Deadlines, expected_run_s: float
 ) -> tuple[float, float]:
-    """Return until when a job may start and be in time, and of use, in seconds.
+    """Return the latest starts for an answer in time and for a useful one, in seconds.
 
-    :param expected_run_s: expected length of its longest chain, in seconds.
+    :param expected_run_s: expected length of its longest chain of tasks, in seconds.
     """
-    needed_s = expected_run_s + MARGIN_S
+    needed_s = expected_run_s + TRANSFER_MARGIN_S
     return deadlines.due_at - needed_s, deadlines.useful_until - needed_s
 
 
-def spread_retry_after(job_id: str, least_s: float) -> float:
-    """Return when a refused caller should come back, in seconds.
+def spread_retry_after(job_id: str, min_s: float) -> float:
+    """Return after how long a refused caller should retry, in seconds, with jitter.
 
-    Callers refused in one moment would otherwise come back in one moment, and
-    all but the first be refused again.
+    Without jitter, callers refused at the same moment would retry at the same moment,
+    and all but the first would be refused again.
 
-    :param job_id: gives each job its own place in the interval.
-    :param least_s: when there may be room again, in seconds.
+    :param job_id: its hash gives the position in the interval.
+    :param min_s: time until there may be capacity again, in seconds.
     """
-    place = xxhash.xxh3_64_intdigest(job_id.encode()) / _HASH_RANGE
-    return least_s * (1.0 + RETRY_SPREAD * place)
+    hash_fraction = xxhash.xxh3_64_intdigest(job_id.encode()) / _HASH_RANGE
+    return min_s * (1.0 + RETRY_JITTER * hash_fraction)
--- a/src/cassiaturn/sharing/_expected_runs.py
+++ b/src/cassiaturn/sharing/_expected_runs.py
@@ -1,43 +1,43 @@
-"""Expected run times of tasks, from what was declared and what was seen.
+"""Expected run times of tasks, from declared and from observed run times.
 
-Load pattern: declared run times that are off by half in either direction, on
-routes whose tasks resemble each other. Orders and refusals that trust them refuse
-jobs that would have been in time, and start ones that cannot be.
+Load pattern: declared run times are off by half in either direction, on routes whose
+tasks resemble each other. Ordering and admission that trust the declared times refuse
+jobs that would have been in time, and start jobs that cannot be.
 
-Grounds: the geometric mean of the declared time and of the route's recent mean
-halves the error of either in the logarithm where both err alike.
+Grounds: the geometric mean of the declared time and of the route's recent mean halves
+the error of either in the logarithm if both have errors of similar size.
 """
 
 import math
 
-FOLLOW = 0.05
-"""Weight of one run in a route's mean: about the last twenty count."""
+SMOOTHING_WEIGHT = 0.05
+"""Weight of one run in a route's moving average: it spans about the last 20 runs."""
 
 
 class ExpectedRuns:
-    """Run times of each route."""
+    """Moving average of the run times of each route."""
 
     def __init__(self) -> None:
         self._mean_log_by_route: dict[str, float] = {}
 
     def observe(self, route: str, run_s: float) -> None:
-        """Take in the length of a run that ended well.
+        """Add the run time of a run that ended successfully.
 
         :param route: name of the route.
-        :param run_s: in seconds.
+        :param run_s: run time in seconds.
         """
         value = math.log(max(run_s, 1e-3))
         mean = self._mean_log_by_route.get(route)
         if mean is None:
             self._mean_log_by_route[route] = value
         else:
-            self._mean_log_by_route[route] = mean + FOLLOW * (value - mean)
+            self._mean_log_by_route[route] = mean + SMOOTHING_WEIGHT * (value - mean)
 
     def expected_s(self, route: str, declared_s: float) -> float:
-        """Return the expected length of a run, in seconds.
+        """Return the expected run time of a task, in seconds.
 
         :param route: name of the route.
-        :param declared_s: what the caller declared; 0: nothing.
+        :param declared_s: run time that the caller declared, in seconds; 0: none.
         """
         mean = self._mean_log_by_route.get(route)
         if mean is None:
@@ -48,4 +48,4 @@
 
 
 DEFAULT_RUN_S = 0.3
-"""Length of a run of which nothing is known: the middle of 50 ms to 1 s."""
+"""Run time if nothing is known, in seconds: the middle of 50 ms to 1 s."""
--- a/src/cassiaturn/sharing/_failed_target.py
+++ b/src/cassiaturn/sharing/_failed_target.py
@@ -1,27 +1,28 @@
-"""Pause of a shared target on which a run failed.
+"""Pause before a target on which a run failed gets another start.
 
-Load pattern: a worker that fails everything it starts is free at once and so gets
-the next task too; tasks have two to four attempts.
+Load pattern: a target that fails every run is free again at once. Without a pause it
+receives the next task too, and a task has only two to four attempts.
 
-Grounds: sound targets fail one run in 500, a bad one all of them, and even at one
-target in eighty being bad at any time a single failure points to the target rather
-than to the task. A pause costs a fraction of one worker; a wrong start costs an
-attempt. So the first failure pauses the target already, and the pause doubles while
-nothing succeeds there.
+Grounds: healthy targets fail one run in 500, a broken one fails all of them. Even if
+only one target in eighty is broken at any time, a single failure points to the target
+rather than to the task. A pause costs a fraction of one worker, a wrong start costs an
+attempt. So the first failure already pauses the target, and the pause doubles until a
+run succeeds there.
 """
 
-FIRST_PAUSE_S = 0.25
-"""Pause after the first failure in a row, in seconds: the length of a usual task."""
+INITIAL_PAUSE_S = 0.25
+"""Pause after the first of consecutive failures, in seconds: the length of a usual
+task."""
 
-LONGEST_PAUSE_S = 2.0
+MAX_PAUSE_S = 2.0
 """Longest pause, in seconds: a target that recovers is used again within it."""
 
 
-def failed_target_pause_s(failures_in_row: int) -> float:
+def failed_target_pause_s(consecutive_failures: int) -> float:
     """Return how long a target gets no new start, in seconds.
 
-    :param failures_in_row: runs that failed there since the last success, from 1.
+    :param consecutive_failures: runs that failed there since the last success, from 1.
     """
-    doublings = min(failures_in_row - 1, 10)
-    pause_s: float = FIRST_PAUSE_S * 2**doublings
-    return min(pause_s, LONGEST_PAUSE_S)
+    doublings = min(consecutive_failures - 1, 10)
+    pause_s: float = INITIAL_PAUSE_S * 2**doublings
+    return min(pause_s, MAX_PAUSE_S)
--- a/src/cassiaturn/sharing/_job_queue.py
+++ b/src/cassiaturn/sharing/_job_queue.py
@@ -1,12 +1,13 @@
-"""The jobs of one service that wait for room, kept in order.
+"""The jobs of one service that wait for capacity, kept in order.
 
-Load pattern: thousands of queued jobs, after an outage or while more comes than there
-is room for. A leader that looks through all of them at each event spends its time on
-the queue, starts fewer tasks, and has a longer queue for it.
+Load pattern: thousands of queued jobs, after an outage or while more jobs arrive than
+there is capacity for. A leader that scans all of them at each event spends its time on
+the queue and starts fewer tasks, which makes the queue longer still.
 
-Grounds: the place of a job changes when a task of it starts or comes back, and at two
-times that are known when it comes. So its place is found once, by bisection, and
-looking at the first jobs costs the same however many wait behind them.
+Grounds: the position of a job changes only when one of its tasks starts or is queued
+again, and at two times that are known on arrival. So each position is found once, by
+bisection, and the cost of looking at the first jobs does not depend on the length of
+the queue.
 """
 
 import heapq
@@ -25,30 +26,30 @@
 )
 from cassiaturn.sharing._feasibility import latest_start
 
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 
-MOST_PLANNED = 4
-"""Planned changes for each queued job, two of which are its own, before those of jobs
-that are not queued any more are dropped."""
+MAX_PLANNED_PER_JOB = 4
+"""Planned changes per queued job above which those of jobs that are no longer queued
+are dropped; two of them are the job's own."""
 
-LEAST_PLANNED = 64
-"""Planned changes that are kept in any case."""
+MIN_PLANNED = 64
+"""Planned changes up to which none are dropped."""
 
 
 class QueuedJob(Protocol):
-    """What the queue asks of a job."""
+    """What the queue needs to know of a job."""
 
     @property
     def job_id(self) -> str:
-        """Its id."""
+        """Id of the job."""
 
     @property
     def priority(self) -> int:
-        """Of its route; 0 goes first."""
+        """Priority of its route; 0 is the most urgent."""
 
     @property
     def deadlines(self) -> Deadlines:
-        """Until when its answer is worth what."""
+        """When its answer is due, still useful, and no longer awaited."""
 
     @property
     def expected_run_s(self) -> float:
@@ -60,24 +61,24 @@
 
     @property
     def least_cpu_millis(self) -> int:
-        """Least that a task of it asks for, in thousandths of a core."""
+        """Smallest processor request of its tasks, in thousandths of a core."""
 
     @property
     def has_waiting(self) -> bool:
-        """Whether a task of it waits."""
+        """Whether any of its tasks waits to be started."""
 
     @property
     def waiting_cpu_millis(self) -> int:
-        """What its waiting tasks ask for together, in thousandths of a core."""
+        """Total processor request of its waiting tasks, in thousandths of a core."""
 
 
 JobT = TypeVar("JobT", bound=QueuedJob)
 
 
 def queue_key(job: QueuedJob, now: float) -> OrderKey:
-    """Return a job's place in the queue.
+    """Return a job's sort key in the queue.
 
-    :param now: time in seconds.
+    :param now: current time in seconds.
     """
     return order_key(
         priority=job.priority,
@@ -88,83 +89,83 @@
     )
 
 
-class _Kind(NamedTuple):
-    """What jobs of one band have in common; the lowest goes first."""
+class _BandKey(NamedTuple):
+    """Properties that the jobs of one band share; the lowest band goes first."""
 
     lateness: Lateness
     priority: int
     is_new: bool
 
 
-class _Place(NamedTuple):
-    """Where a job stands within its band."""
+class _DueKey(NamedTuple):
+    """Sort key of a job within its band."""
 
     due_at: float
-    number: int
+    sequence: int
 
 
 @dataclass(slots=True, eq=False)
 class _Band(Generic[JobT]):
-    """Jobs that differ only in when they are due; three lists, place by place."""
+    """Jobs that differ only in when they are due, as three parallel sorted lists."""
 
-    places: list[_Place] = field(default_factory=list)
+    due_keys: list[_DueKey] = field(default_factory=list)
     jobs: list[JobT] = field(default_factory=list)
-    works: list[int] = field(default_factory=list)
-    work: int = 0
+    work_by_position: list[int] = field(default_factory=list)
+    total_work: int = 0
 
-    def insert(self, place: _Place, job: JobT, work: int) -> None:
-        position = bisect_left(self.places, place)
-        self.places.insert(position, place)
+    def insert(self, due_key: _DueKey, job: JobT, work: int) -> None:
+        position = bisect_left(self.due_keys, due_key)
+        self.due_keys.insert(position, due_key)
         self.jobs.insert(position, job)
-        self.works.insert(position, work)
-        self.work += work
+        self.work_by_position.insert(position, work)
+        self.total_work += work
 
-    def delete(self, place: _Place) -> None:
-        position = bisect_left(self.places, place)
-        del self.places[position]
+    def delete(self, due_key: _DueKey) -> None:
+        position = bisect_left(self.due_keys, due_key)
+        del self.due_keys[position]
         del self.jobs[position]
-        self.work -= self.works.pop(position)
+        self.total_work -= self.work_by_position.pop(position)
 
     def work_until(self, due_at: float) -> int:
-        end = bisect_right(self.places, due_at, key=lambda place: place.due_at)
-        return sum(self.works[:end])
+        end = bisect_right(self.due_keys, due_at, key=lambda due_key: due_key.due_at)
+        return sum(self.work_by_position[:end])
 
 
 @dataclass(frozen=True, slots=True)
 class _Row(Generic[JobT]):
-    """A queued job, and where it stands."""
+    """A queued job and its position."""
 
     job: JobT
-    kind: _Kind
-    place: _Place
+    band_key: _BandKey
+    due_key: _DueKey
 
 
 class JobQueue(Generic[JobT]):
     """The jobs of one service that have tasks to start."""
 
     def __init__(self) -> None:
-        """Begin empty."""
-        self._band_by_kind: dict[_Kind, _Band[JobT]] = {}
+        """Start empty."""
+        self._band_by_key: dict[_BandKey, _Band[JobT]] = {}
         self._row_by_id: dict[str, _Row[JobT]] = {}
         self._least_cpus: list[int] = []
         self._changes: list[tuple[float, int, str]] = []
         self._latest_starts: list[tuple[float, int, str]] = []
-        self._numbers = itertools.count()
+        self._sequences = itertools.count()
         self._now = float("-inf")
 
     def __len__(self) -> int:
-        """Return how many jobs wait."""
+        """Return the number of queued jobs."""
         return len(self._row_by_id)
 
     @property
     def least_cpu_millis(self) -> int:
-        """Least that a task of any of them asks for, in thousandths of a core."""
+        """Smallest processor request of any queued task, in thousandths of a core."""
         return self._least_cpus[0] if self._least_cpus else 0
 
     def advance(self, now: float) -> None:
-        """Move the jobs to their places at a time.
+        """Update the positions of the jobs to the current time.
 
-        :param now: time in seconds.
+        :param now: current time in seconds.
         """
         self._now = now
         while self._changes and self._changes[0][0] < now:
@@ -178,99 +179,107 @@
 
         Each is returned once; it stays queued.
 
-        :param now: time in seconds.
+        :param now: current time in seconds.
         """
         overdue: list[JobT] = []
         while self._latest_starts and self._latest_starts[0][0] < now:
-            _, number, job_id = heapq.heappop(self._latest_starts)
+            _, sequence, job_id = heapq.heappop(self._latest_starts)
             row = self._row_by_id.get(job_id)
-            if row is not None and row.place.number == number:
+            if row is not None and row.due_key.sequence == sequence:
                 overdue.append(row.job)
         return overdue
 
     def put(self, job: JobT) -> None:
-        """Give a job its place; one that has no task to start any more has none."""
+        """Insert a job or update its position; remove it if no task of it waits."""
         before = self._row_by_id.get(job.job_id)
         if before is not None:
-            self._delete(before)
+            self._remove_from_band(before)
         if not job.has_waiting:
             if before is not None:
-                self._forget(before)
+                self._remove_row(before)
             return
         key = queue_key(job, self._now)
-        number = next(self._numbers) if before is None else before.place.number
-        kind = _Kind(key.lateness, key.priority, key.is_new)
-        row = _Row(job, kind, _Place(key.due_at, number))
-        self._band_by_kind.setdefault(kind, _Band()).insert(
-            row.place, job, _queued_work(job)
+        sequence = next(self._sequences) if before is None else before.due_key.sequence
+        band_key = _BandKey(key.lateness, key.priority, key.is_new)
+        row = _Row(job, band_key, _DueKey(key.due_at, sequence))
+        self._band_by_key.setdefault(band_key, _Band()).insert(
+            row.due_key, job, _queued_work(job)
         )
         self._row_by_id[job.job_id] = row
         if before is None:
             insort(self._least_cpus, job.least_cpu_millis)
-            self._plan(job, number)
+            self._plan(job, sequence)
 
-    def _plan(self, job: JobT, number: int) -> None:
-        """Note the times at which something is to be done about a job."""
-        for at in lateness_changes(job.deadlines, job.expected_run_s):
-            heapq.heappush(self._changes, (at, number, job.job_id))
+    def _plan(self, job: JobT, sequence: int) -> None:
+        """Schedule a job's changes of position and its latest start."""
+        for change_at in lateness_changes(job.deadlines, job.expected_run_s):
+            heapq.heappush(self._changes, (change_at, sequence, job.job_id))
         start_by = latest_start(
             limit_at=job.deadlines.limit_at,
             expected_run_s=job.expected_run_s,
             is_idle=True,
         )
-        heapq.heappush(self._latest_starts, (start_by, number, job.job_id))
-        most = MOST_PLANNED * len(self._row_by_id) + LEAST_PLANNED
-        if len(self._changes) > most:
-            self._changes = self._of_queued(self._changes)
-            self._latest_starts = self._of_queued(self._latest_starts)
+        heapq.heappush(self._latest_starts, (start_by, sequence, job.job_id))
+        max_planned = MAX_PLANNED_PER_JOB * len(self._row_by_id) + MIN_PLANNED
+        if len(self._changes) > max_planned:
+            self._changes = self._without_stale(self._changes)
+            self._latest_starts = self._without_stale(self._latest_starts)
 
-    def _of_queued(
+    def _without_stale(
         self, planned: list[tuple[float, int, str]]
     ) -> list[tuple[float, int, str]]:
-        """Return what is planned for jobs that are still queued, as a heap."""
-        number_by_id = {
-            job_id: row.place.number for job_id, row in self._row_by_id.items()
+        """Return the entries of jobs that are still queued, as a heap."""
+        sequence_by_id = {
+            job_id: row.due_key.sequence for job_id, row in self._row_by_id.items()
         }
-        kept = [entry for entry in planned if number_by_id.get(entry[2]) == entry[1]]
+        kept = [entry for entry in planned if sequence_by_id.get(entry[2]) == entry[1]]
         heapq.heapify(kept)
         return kept
 
     def discard(self, job: JobT) -> None:
-        """Take a job out, if it is queued."""
+        """Remove a job if it is queued."""
         row = self._row_by_id.get(job.job_id)
         if row is not None:
-            self._delete(row)
-            self._forget(row)
+            self._remove_from_band(row)
+            self._remove_row(row)
 
     def in_order(self) -> Iterator[JobT]:
         """Return the jobs, the first to start first.
 
-        Places may change meanwhile: a job that moves is not returned twice.
+        Jobs may be started during the iteration: a started job moves forward, so none
+        is returned twice.
         """
-        for kind in sorted(self._band_by_kind):
-            band = self._band_by_kind.get(kind)
+        for band_key in sorted(self._band_by_key):
+            band = self._band_by_key.get(band_key)
             if band is not None:
                 yield from list(band.jobs)
 
     def work_ahead_s(self, key: OrderKey) -> float:
-        """Return the work that goes before a place, in seconds of a thousandth core."""
-        own = _Kind(key.lateness, key.priority, key.is_new)
-        work = sum(band.work for kind, band in self._band_by_kind.items() if kind < own)
-        if own in self._band_by_kind:
-            work += self._band_by_kind[own].work_until(key.due_at)
-        return work / MICROSECONDS
-
-    def _delete(self, row: _Row[JobT]) -> None:
-        band = self._band_by_kind[row.kind]
-        band.delete(row.place)
-        if not band.places:
-            del self._band_by_kind[row.kind]
-
-    def _forget(self, row: _Row[JobT]) -> None:
+        """Return the work ordered before a key, in seconds of a thousandth of a core.
+
+        :param key: sort key; work due at the same time is included.
+        """
+        own = _BandKey(key.lateness, key.priority, key.is_new)
+        work = sum(
+            band.total_work
+            for band_key, band in self._band_by_key.items()
+            if band_key < own
+        )
+        if own in self._band_by_key:
+            work += self._band_by_key[own].work_until(key.due_at)
+        return work / MICROSECONDS_PER_S
+
+    def _remove_from_band(self, row: _Row[JobT]) -> None:
+        band = self._band_by_key[row.band_key]
+        band.delete(row.due_key)
+        if not band.due_keys:
+            del self._band_by_key[row.band_key]
+
+    def _remove_row(self, row: _Row[JobT]) -> None:
         del self._row_by_id[row.job.job_id]
         del self._least_cpus[bisect_left(self._least_cpus, row.job.least_cpu_millis)]
 
 
 def _queued_work(job: QueuedJob) -> int:
-    """Return a job's work that waits, in microseconds of a thousandth of a core."""
-    return round(job.expected_run_s * MICROSECONDS) * job.waiting_cpu_millis
+    """Return a job's waiting work, in microseconds of a thousandth of a core."""
+    return round(job.expected_run_s * MICROSECONDS_PER_S) * job.waiting_cpu_millis
--- a/src/cassiaturn/sharing/_link_capacity.py
+++ b/src/cassiaturn/sharing/_link_capacity.py
@@ -1,28 +1,30 @@
-"""When a leader whose host's link is full asks another member to lead.
+"""When a leader whose host's link is saturated hands the lead to another member.
 
 Load pattern: all hosts lose power, and the first process that is back leads, whatever
-its link carries. Orders for all callers are more than a narrow link carries: they wait
-for it, time out, and are sent again, for as long as that member leads.
+the capacity of its link. Start orders for all callers can exceed a narrow link. Without
+a hand-over they queue for the link, time out and are sent again for as long as that
+member leads.
 
-Grounds: half of what a link carries is seldom passed by orders in time, as they come in
-bursts. A link at least twice as wide is worth a change of leader, and no two members
-can each be twice as wide as the other, so that the lead does not go back and forth.
+Grounds: orders come in bursts, so a link on which they are in time seldom carries more
+than half of its capacity. A link at least twice as wide justifies a change of leader.
+No two members can each have twice the width of the other, so the lead does not
+alternate between them.
 """
 
-FULL_SHARE = 0.5
-"""Share of a link from which it counts as full."""
+FULL_LINK_SHARE = 0.5
+"""Share of its capacity in use from which a link counts as saturated."""
 
-LEAST_GAIN = 2.0
-"""Least width of another member's link, as a multiple of the leader's own."""
+MIN_WIDTH_RATIO = 2.0
+"""Minimum width of another member's link, as a multiple of the leader's own."""
 
 
 def should_hand_over(*, own_mbps: float, used_mbps: float, widest_mbps: float) -> bool:
     """Return whether a leader should ask another member to lead.
 
-    :param own_mbps: width of its host's link, in megabits a second.
-    :param used_mbps: what leading sends over it, in megabits a second.
-    :param widest_mbps: width of the widest link of a member that could lead, in
-        megabits a second; 0: there is none.
+    :param own_mbps: capacity of its host's link, in megabits per second.
+    :param used_mbps: traffic that leading sends over it, in megabits per second.
+    :param widest_mbps: capacity of the widest link of a member that could lead, in
+        megabits per second; 0: there is none.
     """
-    is_full = used_mbps >= FULL_SHARE * own_mbps
-    return is_full and widest_mbps >= LEAST_GAIN * own_mbps
+    is_full = used_mbps >= FULL_LINK_SHARE * own_mbps
+    return is_full and widest_mbps >= MIN_WIDTH_RATIO * own_mbps
--- a/src/cassiaturn/sharing/_packing.py
+++ b/src/cassiaturn/sharing/_packing.py
@@ -1,18 +1,19 @@
 """Choice of a worker for a task that takes a part of it.
 
-Load pattern: tasks that each ask for a third to a half of a worker, on workers
-of two sizes, nearly all of them in use. Least loaded first leaves a useless rest
-on many workers at once: two 6.8-core tasks fit into 16 cores and three into 24,
-and a 9-core task finds no room although 10 cores are free in total.
-
-Grounds: best fit, the worker on which the least is left over, keeps the large
-rests together. A target that works slowly goes after all sound ones, however
-well the task would fit: on one that takes several times as long the whole job is
-late, and a rest that is left over costs at most one place.
-
-Of targets that work alike, those in the failure domain of the caller's member come
-first. A cut between domains then parts few jobs: spread over all workers, a job of four
-tasks has one behind the cut in two cases of three, and can't be complete in time.
+Load pattern: tasks that each ask for a third to a half of a worker, on workers of two
+sizes, with nearly all resources in use. Least loaded first leaves fragments on many
+workers at once: two 6.8-core tasks fit into 16 cores and three into 24, and a 9-core
+task finds no worker although 10 cores are free in total.
+
+Grounds: best fit, the worker with the least left over, keeps large free parts together.
+A slow target goes after all healthy ones, however well the task would fit: on a target
+that takes several times as long the whole job is late, whereas leaving resources unused
+costs at most one task's capacity.
+
+Among otherwise equal targets, those in the failure domain of the caller's member come
+first, so that a network partition between domains affects few jobs. If tasks are spread
+over all workers, a job of four tasks has one beyond the partition in two cases of three
+and cannot complete in time.
 """
 
 from collections.abc import Iterable
@@ -24,22 +25,22 @@
 from cassiaturn.sharing._target_resources import TargetResources
 
 SLOW_FACTOR = 1.8
-"""Run time over the expected one from which a target counts as slow: speeds of
-sound workers differ by up to 1.6, and their declared times are off both ways."""
+"""Run time over the expected one from which a target counts as slow. Speeds of healthy
+workers differ by up to 1.6, and declared times are off in both directions."""
 
-AWAY_COST = 0.1
-"""Share of a worker that may be left over more in the failure domain of the caller's
-member than in another one."""
+REMOTE_DOMAIN_PENALTY = 0.1
+"""Additional share of a worker that may be left over in the failure domain of the
+caller's member, compared with a target in another domain."""
 
 
 class GroupKey(NamedTuple):
     """One group of one occurrence of a job."""
 
     job_id: str
-    """The job."""
+    """Id of the job."""
 
     occurrence: int
-    """Which repetition."""
+    """Number of the repetition."""
 
     group: int
     """Position of the group in the job."""
@@ -47,22 +48,24 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class SharedTarget(TargetResources):
-    """A target whose worker several tasks share by what each takes."""
+    """A target whose worker's resources several tasks share."""
 
     labels: frozenset[str] = frozenset()
     """The worker's kind and its rack."""
 
     slowness: float = 1.0
-    """The last few run times over the expected ones; finds a sick target soon."""
+    """Moving average of the last few run times over the expected ones; detects a
+    degraded target quickly."""
 
     speed: SpeedEstimate = field(default_factory=SpeedEstimate)
-    """Many run times over the expected ones; tells sound targets apart."""
+    """Estimate from many run times over the expected ones; distinguishes healthy
+    targets."""
 
     tasks_by_group: dict[GroupKey, int] = field(default_factory=dict)
-    """Tasks here of each group."""
+    """Number of tasks of each group on this target."""
 
-    changed: "set[SharedTarget] | None" = None
-    """Where its index keeps those that changed; None: no index holds it."""
+    changed_targets: "set[SharedTarget] | None" = None
+    """Set in which its index collects changed targets; None: it is in no index."""
 
     @property
     def is_slow(self) -> bool:
@@ -70,9 +73,9 @@
         return self.slowness >= SLOW_FACTOR
 
     def note_change(self) -> None:
-        """Tell the index that what is free here, or the speed, may have changed."""
-        if self.changed is not None:
-            self.changed.add(self)
+        """Tell the index that the free resources or the speed may have changed."""
+        if self.changed_targets is not None:
+            self.changed_targets.add(self)
 
     def allocate(self, wanted: Resources, group: GroupKey) -> None:
         """Count a task as started here."""
@@ -81,9 +84,10 @@
         self.tasks_by_group[group] = self.tasks_by_group.get(group, 0) + 1
 
     def release(self, wanted: Resources, group: GroupKey) -> None:
-        """Count a task as over.
+        """Count a task as ended.
 
-        :raises AssertionError: none of its group was here; the table is broken.
+        :raises AssertionError: no task of the group is counted here, so the counts are
+            inconsistent.
         """
         count = self.tasks_by_group.get(group, 0)
         if count <= 0:
@@ -108,30 +112,30 @@
     is_tight: bool = False,
     preferred_domain: str = "",
 ) -> TargetT | None:
-    """Return the target that a task should start on, or None.
+    """Return the target that a task should start on, or None if none fits.
 
-    :param group: what the task asks for.
-    :param group_key: job id and position of the group.
+    :param group: group of the task, with its resources and constraints.
+    :param group_key: key of that group.
     :param targets: the targets that may take work now.
-    :param avoided: targets that failed this task before; taken only if no other
+    :param avoided: ids of targets that failed this task before; chosen only if no other
         fits.
     :param is_tight: whether the task needs a large part of its caller's time.
-    :param preferred_domain: where the member of its caller runs; empty: not known.
+    :param preferred_domain: failure domain of its caller's member; empty: unknown.
     """
     best: TargetT | None = None
     best_rank: tuple[bool, bool, bool, float, float, float] | None = None
     wanted = group.resources
     for target in targets:
-        if not target.has_free(wanted) or not _allowed(group, group_key, target):
+        if not target.has_free(wanted) or not _is_allowed(group, group_key, target):
             continue
-        is_away = bool(preferred_domain) and target.failure_domain != preferred_domain
+        is_remote = bool(preferred_domain) and target.failure_domain != preferred_domain
         rank = (
             target.target_id in avoided,
             target.is_slow,
             bool(group.preferred_rack) and group.preferred_rack not in target.labels,
-            target.speed.step + is_away if is_tight else 0,
-            _left_over(target, wanted) + AWAY_COST * is_away,
-            # The slower of two equal fits: the faster one stays free for what needs it.
+            target.speed.step + is_remote if is_tight else 0,
+            _left_over(target, wanted) + REMOTE_DOMAIN_PENALTY * is_remote,
+            # Of equal fits the slower target: fast ones stay free for tight tasks.
             -target.speed.step,
         )
         if best_rank is None or rank < best_rank:
@@ -140,7 +144,7 @@
     return best
 
 
-def _allowed(group: TaskGroup, group_key: GroupKey, target: SharedTarget) -> bool:
+def _is_allowed(group: TaskGroup, group_key: GroupKey, target: SharedTarget) -> bool:
     if group.required_label and group.required_label not in target.labels:
         return False
     if not group.max_per_target:
@@ -149,7 +153,7 @@
 
 
 def _left_over(target: SharedTarget, wanted: Resources) -> float:
-    """Return the share of its processors that stays free beside the task."""
+    """Return the share of its processors that stays free beside the task, 0 to 1."""
     total = target.capacity.cpu_millis
     if not total:
         return 0.0
--- a/src/cassiaturn/sharing/_shedding.py
+++ b/src/cassiaturn/sharing/_shedding.py
@@ -1,14 +1,15 @@
-"""Which jobs are refused while the leader's process is full.
+"""Load shedding: which share of new jobs to refuse while the leader is saturated.
 
 Load pattern: more jobs than one process can start, above all a burst while targets are
-cut off. Taken all the same, every caller is late: answers are read after the timeout of
-their orders, sound targets count as silent, and followers take the leader for dead.
-
-Grounds: a timer is late by the work that waited before it, and work that is done in
-small parts is late by how long some of it that could be in time has been left. A pause
-of the process makes single timers late, work that does not fit makes all of them late.
-What cannot be taken is refused by the member that the caller reached, the least urgent
-jobs first.
+unreachable. If all are accepted, every caller is late: replies are read after their
+orders have timed out, healthy targets count as unresponsive, and followers consider the
+leader dead.
+
+Grounds: a timer is late by the work that ran before it. If work is done in small
+batches instead, the backlog shows in how long jobs that could still be in time are left
+waiting although there is capacity for them. A pause of the process delays single
+timers, overload delays all of them. The excess is refused by the member that the caller
+reached, the least urgent jobs first.
 """
 
 from collections import deque
@@ -16,62 +17,66 @@
 
 import xxhash
 
-BUSY_LATE_S = 0.06
-"""Lateness of each of some timers in a row from which the process counts as full, in
-seconds: below the timeout of an order."""
+FULL_LATENESS_S = 0.06
+"""Lateness of consecutive timers from which the process counts as saturated, in
+seconds: below the timeout of a start order."""
 
-MOST_BEHIND_S = 0.1
-"""Longest time that jobs have been left that counts, in seconds: those that are left
-for longer are not in time any more, so that it says no more about the process."""
+MAX_BEHIND_S = 0.1
+"""Cap on the time that jobs have been left waiting, in seconds: jobs that have waited
+longer are late anyway, so more says nothing further about the load of the process."""
 
-TIMERS = 2
-"""Timers in a row that must be late: one alone is a pause of the process."""
+LATE_TIMERS = 2
+"""Consecutive timers that must be late: a single one indicates a pause of the process.
+"""
 
-LEAST_RAISE = 0.1
-"""Least part of the jobs still taken that a raise refuses."""
+MIN_RAISE = 0.1
+"""Smallest fraction of the jobs still accepted that one raise refuses."""
 
-MOST_RAISE = 0.8
-"""The same at the most; between the two it is the lateness in seconds."""
+MAX_RAISE = 0.8
+"""Largest fraction of the jobs still accepted that one raise refuses. Between the two
+bounds the fraction equals the lateness in seconds."""
 
-HOLD_S = 0.2
-"""Least time between two raises, in seconds: members hear of one within a heartbeat."""
+MIN_RAISE_INTERVAL_S = 0.2
+"""Minimum time between two raises, in seconds: members learn of a raise within a
+heartbeat."""
 
-LOWER = 0.01
-"""What is taken off the share at each timer in time: a tenth of all jobs in 0.5 s."""
+SHARE_DECREASE = 0.01
+"""Decrease of the share for each timer on time: a tenth of all jobs in 0.5 s."""
 
-MOST_SHED = 0.9
-"""Largest share that is refused: the rest tells whether the process is still full."""
+MAX_SHED_SHARE = 0.9
+"""Largest share refused: the remaining jobs show whether the process is still
+saturated."""
 
 _HASH_RANGE = float(1 << 64)
 
 
 class LoadShedder:
-    """Learns from timers of the event loop which share of new jobs to refuse."""
+    """Learns from event loop timers which share of new jobs to refuse."""
 
     def __init__(self) -> None:
-        """Refuse nothing."""
+        """Start with no job refused."""
         self.share = 0.0
         """Share of all new jobs to refuse, 0 to 1."""
 
-        self._late_s: deque[float] = deque(maxlen=TIMERS)
+        self._late_s: deque[float] = deque(maxlen=LATE_TIMERS)
         self._raised_at = float("-inf")
 
     def observe(self, late_s: float, now: float, *, behind_s: float = 0.0) -> None:
-        """Take in a timer.
+        """Add the sample of one timer and update the share.
 
         :param late_s: by how much it fired late, in seconds.
-        :param behind_s: for how long jobs that could be in time have been left though
-            there is room for them, in seconds.
-        :param now: time in seconds.
+        :param behind_s: how long jobs that could still be in time have been left
+            waiting although there is capacity for them, in seconds.
+        :param now: current time in seconds.
         """
-        late_s = max(late_s, min(behind_s, MOST_BEHIND_S))
+        late_s = max(late_s, min(behind_s, MAX_BEHIND_S))
         self._late_s.append(late_s)
-        if len(self._late_s) < TIMERS or min(self._late_s) < BUSY_LATE_S:
-            self.share = max(0.0, self.share - LOWER)
-        elif now - self._raised_at >= HOLD_S:
+        if len(self._late_s) < LATE_TIMERS or min(self._late_s) < FULL_LATENESS_S:
+            self.share = max(0.0, self.share - SHARE_DECREASE)
+        elif now - self._raised_at >= MIN_RAISE_INTERVAL_S:
             self._raised_at = now
-            part = min(MOST_RAISE, max(LEAST_RAISE, late_s))
-            self.share = min(MOST_SHED, self.share + part * (1.0 - self.share))
+            fraction = min(MAX_RAISE, max(MIN_RAISE, late_s))
+            self.share = min(MAX_SHED_SHARE, self.share + fraction * (1.0 - self.share))
 
 
 def is_shed(
@@ -79,12 +84,12 @@
 ) -> bool:
     """Return whether a new job is refused.
 
-    :param job_id: gives each job its own place among those of its priority.
-    :param share: of all new jobs that are refused, 0 to 1.
-    :param priority: of its route; 0 goes first.
-    :param priorities: every priority that jobs come with, in ascending order.
+    :param job_id: its hash decides which jobs of one priority are refused.
+    :param share: share of all new jobs that are refused, 0 to 1.
+    :param priority: priority of its route; 0 is the most urgent.
+    :param priorities: every priority in use, in ascending order.
     """
     less_urgent = sum(other > priority for other in priorities)
     own_share = share * len(priorities) - less_urgent
-    place = xxhash.xxh3_64_intdigest(job_id.encode()) / _HASH_RANGE
-    return place < own_share
+    hash_fraction = xxhash.xxh3_64_intdigest(job_id.encode()) / _HASH_RANGE
+    return hash_fraction < own_share
--- a/src/cassiaturn/sharing/_speed_estimate.py
+++ b/src/cassiaturn/sharing/_speed_estimate.py
@@ -1,65 +1,66 @@
-"""How fast a sound target works, compared with the others.
+"""Estimates how fast a healthy target works, relative to the others.
 
-Load pattern: tasks that need nearly all of the time that their callers wait, on
-workers whose speeds differ by half. Without it a third of these tasks land on slow
-workers and end too late, while short tasks, which have time to spare, hold the fast
-ones. A new leader knows no speed, and its first seconds follow a fault.
+Load pattern: tasks that need nearly all of the time that their callers wait, on workers
+whose speeds differ by half. Without the estimate a third of these tasks are placed on
+slow workers and end too late, while short tasks, which have time to spare, occupy the
+fast ones. A new leader knows no speed, and its first seconds follow a fault.
 
-Grounds: run times are off by a third from what was expected, so some thirty of them
-tell the speed of one target to a twentieth. Targets of one kind, or in one rack, have
-their speed in common, and all their runs tell it; what one target deviates by comes
-on top.
+Grounds: run times deviate from the expected ones by a third, so about 30 of them give
+the speed of one target to within a twentieth. Targets of one kind or in one rack share
+part of their deviation, and the runs of all of them contribute to that part. The
+target's own deviation is added on top.
 """
 
 import math
 from collections.abc import Sequence
 
-STEP = 0.1
-"""Width of a step of speed, as a difference of logarithms: smaller differences are
-within the error and would only undo the packing."""
+LOG_STEP = 0.1
+"""Width of a speed step, as a difference of logarithms: smaller differences are within
+the error of the estimate and would only spoil the packing."""
 
-LARGEST = 1.0
-"""Largest logarithm of one ratio that counts: a stalled run says nothing of speed."""
+MAX_LOG_RATIO = 1.0
+"""Bound of the logarithm of one ratio: a stalled run says nothing about speed."""
 
-TIGHT_SHARE = 0.3
-"""Share of a caller's time from which a task's expected run counts as tight: run
-times spread so that one in ten takes 1.7 times as long, and waits come on top."""
+TIGHT_RUN_SHARE = 0.3
+"""Share of its caller's wait from which a task's expected run time counts as tight: one
+run in ten takes 1.7 times as long, and queueing comes on top."""
 
 RUN_VARIANCE = 0.1
-"""Variance of the logarithm of one run's length over the expected one."""
+"""Variance of the logarithm of one run time over the expected one."""
 
 OWN_VARIANCE = 0.01
-"""Variance, between sound targets of one kind, of the logarithm of their speed."""
+"""Variance of the logarithm of speed between healthy targets of one kind."""
 
 OWN_VARIANCE_FLOOR = 0.003
-"""Least uncertainty of a target's own deviation: about the last thirty runs count."""
+"""Minimum variance of a target's own deviation: about the last 30 runs count."""
 
 SHARED_VARIANCE = 0.04
-"""Variance, between kinds of targets, of the logarithm of their speed."""
+"""Variance of the logarithm of speed between kinds of targets."""
 
 SHARED_VARIANCE_FLOOR = 0.0003
-"""Least uncertainty of what targets have in common: some hundreds of runs count."""
+"""Minimum variance of a shared deviation: some hundreds of runs count."""
 
 
 class SpeedEffect:
-    """By how much the run times of some targets deviate, as a logarithm."""
+    """Estimated deviation of the run times of some targets, as a logarithm."""
 
     __slots__ = ("_floor", "mean", "variance")
 
     def __init__(self, *, variance: float, floor: float) -> None:
-        """Know nothing.
+        """Start at a mean of zero.
 
-        :param variance: how far it may be from zero.
-        :param floor: least variance, so that changes are followed.
+        :param variance: prior variance around zero.
+        :param floor: minimum variance, so that the estimate keeps following changes.
         """
         self.mean = 0.0
         self.variance = variance
         self._floor = floor
 
     def learn(self, difference: float, total_variance: float) -> None:
-        """Take its part of a difference between what was seen and expected.
+        """Update the estimate with its share of an observed deviation.
 
-        :param total_variance: of the difference, of which this effect's is a part.
+        :param difference: deviation of the observed logarithm from the expected one.
+        :param total_variance: variance of the difference, including this effect's own.
         """
         gain = self.variance / total_variance
         self.mean += gain * difference
@@ -67,28 +68,29 @@
 
 
 def shared_effect() -> SpeedEffect:
-    """Return the effect of something that targets have in common."""
+    """Return an effect for a property that several targets share."""
     return SpeedEffect(variance=SHARED_VARIANCE, floor=SHARED_VARIANCE_FLOOR)
 
 
 class SpeedEstimate:
-    """Run times of one target over the expected ones."""
+    """Estimated ratio of a target's run times to the expected ones."""
 
     __slots__ = ("effects",)
 
     def __init__(self, *, shared: Sequence[SpeedEffect] = ()) -> None:
-        """Know only what the target has in common with others.
+        """Start from the effects that the target shares with others.
 
-        :param shared: the effects of that.
+        :param shared: those effects.
         """
         own = SpeedEffect(variance=OWN_VARIANCE, floor=OWN_VARIANCE_FLOOR)
         self.effects = (own, *shared)
-        """Its own deviation, and those that it shares."""
+        """The target's own effect, followed by the shared ones."""
 
     def observe(self, ratio: float, *, variance: float = RUN_VARIANCE) -> None:
-        """Take in a run's length over its expected one.
+        """Add a run.
 
-        :param variance: of the logarithm of the ratio, were the speed known.
+        :param ratio: its run time over the expected one.
+        :param variance: variance of the logarithm of the ratio at a known speed.
         """
         difference = clamped_log(ratio) - self.log_ratio
         total = variance + self.variance
@@ -97,34 +99,34 @@
 
     @property
     def log_ratio(self) -> float:
-        """Logarithm of its run times over the expected ones."""
+        """Logarithm of the target's run times over the expected ones."""
         return sum(effect.mean for effect in self.effects)
 
     @property
     def variance(self) -> float:
-        """How uncertain that is."""
+        """Variance of `log_ratio`."""
         return sum(effect.variance for effect in self.effects)
 
     @property
     def ratio(self) -> float:
-        """Its run times over the expected ones."""
+        """Target's run times over the expected ones; lower is faster."""
         return math.exp(self.log_ratio)
 
     @property
     def step(self) -> int:
-        """How slow the target is, in steps; lower is faster."""
-        return round(self.log_ratio / STEP)
+        """`log_ratio` rounded to steps of :data:`LOG_STEP`; lower is faster."""
+        return round(self.log_ratio / LOG_STEP)
 
 
 def clamped_log(ratio: float) -> float:
-    """Return the logarithm of a run's length over its expected one, within bounds."""
-    return max(-LARGEST, min(LARGEST, math.log(max(ratio, 1e-3))))
+    """Return the logarithm of a run time over the expected one, within bounds."""
+    return max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, math.log(max(ratio, 1e-3))))
 
 
 def needs_fast_target(*, expected_run_s: float, limit_s: float) -> bool:
-    """Return whether a task should go to the fastest target that has room.
+    """Return whether a task should go to the fastest target with free resources.
 
-    :param expected_run_s: its expected length, in seconds.
-    :param limit_s: how long its caller waits in all, in seconds.
+    :param expected_run_s: expected run time of the task, in seconds.
+    :param limit_s: how long its caller waits in total, in seconds.
     """
-    return expected_run_s >= TIGHT_SHARE * limit_s
+    return expected_run_s >= TIGHT_RUN_SHARE * limit_s
--- a/src/cassiaturn/sharing/_speed_model.py
+++ b/src/cassiaturn/sharing/_speed_model.py
@@ -1,78 +1,81 @@
-"""Speeds of all targets of one service, from the runs of whole jobs.
+"""Estimates the speeds of all targets of a service from the runs of whole jobs.
 
-Load pattern: as for one target's pace. Declared run times are off by half, for all
-tasks of a job alike: what its tasks on different targets took, set against each other,
-tells the targets apart several times sooner than each run by itself.
+Load pattern: as for the speed estimate of one target. Declared run times are off by
+half, in the same direction for all tasks of a job. Each run by itself therefore says
+little about its target.
+
+Grounds: comparing the run times of a job's tasks on different targets cancels the error
+of the declared time. It tells the targets apart after several times fewer runs.
 """
 
 from collections.abc import Iterable, Sequence
 
 from cassiaturn.sharing._speed_estimate import (
-    STEP,
+    LOG_STEP,
     SpeedEffect,
     SpeedEstimate,
     clamped_log,
     shared_effect,
 )
 
-FOLLOW = 0.02
-"""Weight of one job in the spreads: about the last fifty count."""
+SMOOTHING_WEIGHT = 0.02
+"""Weight of one job in the moving variances: they span about the last 50 jobs."""
 
 WITHIN_VARIANCE = 0.03
-"""Variance of the logarithm of run times within a job, while nothing is known."""
+"""Initial variance of the logarithm of run times within a job."""
 
 BETWEEN_VARIANCE = 0.1
-"""Variance of the logarithm of a job's mean run time over the expected one, while
-nothing is known."""
+"""Initial variance, between jobs, of the logarithm of the mean run time over the
+expected one."""
 
-LEAST_VARIANCE = 0.003
-"""Least variance of either kind that is believed."""
+MIN_VARIANCE = 0.003
+"""Minimum of either variance."""
 
-MOST_LABELS = 8
-"""Labels of a target that count: others may write entries with thousands of them, and
-each costs time at each run."""
+MAX_LABELS = 8
+"""Labels of a target that are used. Entries of other writers may have thousands of
+them, and each costs time at each run."""
 
-SHARED_MOVE = STEP / 4
-"""By how much a shared effect has to move before all targets are looked at again."""
+SHARED_CHANGE = LOG_STEP / 4
+"""Change of a shared effect from which all targets have to be indexed again."""
 
 
 class SpeedModel:
-    """What is known of the speeds of one service's targets."""
+    """Speed estimates of the targets of one service."""
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start without observations."""
         self._effects_by_label: dict[str, SpeedEffect] = {}
         self._all = shared_effect()
         self._within = WITHIN_VARIANCE
         self._between = BETWEEN_VARIANCE
-        self._told_by_label: dict[str, float] = {}
+        self._reported_by_label: dict[str, float] = {}
 
     def new_estimate(self, labels: Iterable[str]) -> SpeedEstimate:
-        """Return the pace of a target that was not seen yet.
+        """Return the speed estimate of a new target.
 
-        :param labels: what it has in common with others.
+        :param labels: properties that it shares with other targets.
         """
         shared = [
             self._effects_by_label.setdefault(label, shared_effect())
-            for label in sorted(labels)[:MOST_LABELS]
+            for label in sorted(labels)[:MAX_LABELS]
         ]
         return SpeedEstimate(shared=(self._all, *shared))
 
     def observe_job(self, runs: Sequence[tuple[SpeedEstimate, float]]) -> None:
-        """Take in the runs of a job's tasks.
+        """Add the runs of a job's tasks.
 
-        :param runs: the target's pace and the run's length over the expected one, of
-            each task that ran once.
+        :param runs: for each task that ran exactly once, the speed estimate of its
+            target and its run time over the expected one.
         """
         count = len(runs)
         differences = [clamped_log(ratio) - speed.log_ratio for speed, ratio in runs]
         mean = sum(differences) / count
-        self._between = _followed(self._between, mean**2 - self._within / count)
+        self._between = _smoothed(self._between, mean**2 - self._within / count)
         if count > 1:
             squares = sum((difference - mean) ** 2 for difference in differences)
-            self._within = _followed(self._within, squares / (count - 1))
+            self._within = _smoothed(self._within, squares / (count - 1))
             self._compare(runs, differences)
-        # The error of the mean is the same for all tasks: together they count once.
+        # All tasks share the error of the mean, so together they count as one sample.
         variance = count * self._between + self._within
         for speed, _ in runs:
             total = variance + speed.variance
@@ -80,42 +83,44 @@
                 effect.learn(mean, total)
 
     def shared_effects_changed(self) -> bool:
-        """Return whether what targets have in common moved since this was last true."""
+        """Return whether a label's effect has changed since this last returned true."""
         means_by_label = {
             label: effect.mean for label, effect in self._effects_by_label.items()
         }
-        moved = any(
-            abs(mean - self._told_by_label.get(label, 0.0)) > SHARED_MOVE
+        changed = any(
+            abs(mean - self._reported_by_label.get(label, 0.0)) > SHARED_CHANGE
             for label, mean in means_by_label.items()
         )
-        if moved:
-            self._told_by_label = means_by_label
-        return moved
+        if changed:
+            self._reported_by_label = means_by_label
+        return changed
 
     def _compare(
-        self, runs: Sequence[tuple[SpeedEstimate, float]], differences: Sequence[float]
+        self,
+        runs: Sequence[tuple[SpeedEstimate, float]],
+        differences: Sequence[float],
     ) -> None:
-        """Set the tasks that ran where an effect is against the job's other tasks."""
+        """Compare the tasks that an effect applies to with the job's other tasks."""
         count = len(runs)
         total = sum(differences)
-        here: dict[SpeedEffect, list[int]] = {}
+        indexes_by_effect: dict[SpeedEffect, list[int]] = {}
         for index, (speed, _) in enumerate(runs):
             for effect in speed.effects:
-                here.setdefault(effect, []).append(index)
+                indexes_by_effect.setdefault(effect, []).append(index)
         variances = [speed.variance for speed, _ in runs]
-        learnt: list[tuple[SpeedEffect, float, float]] = []
-        for effect, indexes in here.items():
-            others = count - len(indexes)
-            if not others:
+        updates: list[tuple[SpeedEffect, float, float]] = []
+        for effect, indexes in indexes_by_effect.items():
+            other_count = count - len(indexes)
+            if not other_count:
                 continue
-            part = sum(differences[index] for index in indexes)
-            difference = part / len(indexes) - (total - part) / others
-            error = self._within * (1 / len(indexes) + 1 / others)
-            uncertain = 2 * max(variances[index] for index in indexes)
-            learnt.append((effect, difference, error + uncertain))
-        for effect, difference, variance in learnt:
+            own_sum = sum(differences[index] for index in indexes)
+            difference = own_sum / len(indexes) - (total - own_sum) / other_count
+            run_variance = self._within * (1 / len(indexes) + 1 / other_count)
+            speed_variance = 2 * max(variances[index] for index in indexes)
+            updates.append((effect, difference, run_variance + speed_variance))
+        for effect, difference, variance in updates:
             effect.learn(difference, variance)
 
 
-def _followed(variance: float, seen: float) -> float:
-    return max(LEAST_VARIANCE, variance + FOLLOW * (seen - variance))
+def _smoothed(variance: float, observed: float) -> float:
+    return max(MIN_VARIANCE, variance + SMOOTHING_WEIGHT * (observed - variance))
--- a/src/cassiaturn/sharing/_target_index.py
+++ b/src/cassiaturn/sharing/_target_index.py
@@ -1,12 +1,12 @@
-"""Finds the target for a task without a look at each one.
+"""Index of targets that finds the one for a task without examining each of them.
 
-Load pattern: thousands of starts a second on hundreds of targets. With a look at each
-target for each task, the choice takes most of a leader's processor time, and callers
-wait for it rather than for a place.
+Load pattern: thousands of starts per second on hundreds of targets. If each target is
+examined for each task, the choice takes most of a leader's processor time, and callers
+wait for the leader rather than for capacity.
 
-Grounds: the order of preference depends on a target's size, on its speed and on what is
-free. Targets that differ only in what is free are kept in order of it, so that the best
-of each such class is found by bisection.
+Grounds: the order of preference depends on a target's size, its speed and its free
+resources. Targets that differ only in free resources are kept sorted by them, so the
+best one of each such class is found by bisection.
 """
 
 from bisect import bisect_left, insort
@@ -15,7 +15,7 @@
 
 from cassiaturn.entities import Resources, TaskGroup
 from cassiaturn.sharing._packing import (
-    AWAY_COST,
+    REMOTE_DOMAIN_PENALTY,
     GroupKey,
     SharedTarget,
     choose_shared_target,
@@ -24,66 +24,66 @@
 TargetT = TypeVar("TargetT", bound=SharedTarget)
 
 
-class _Class(NamedTuple):
-    """Targets that differ only in what is free."""
+class _TargetClass(NamedTuple):
+    """Properties that are equal for all targets of a class."""
 
     is_slow: bool
     """Whether a task may take several times as long there."""
 
-    pace_step: int
-    """How slow they are, in steps."""
+    speed_step: int
+    """Step of their speed estimate; lower is faster."""
 
     total_cpu_millis: int
     """Size of their workers, in thousandths of a core."""
 
     failure_domain: str
-    """Where they run."""
+    """Failure domain of their hosts."""
 
 
 class _Row(NamedTuple, Generic[TargetT]):
     """A target in its class."""
 
     free_cpu_millis: int
-    """What is free, in thousandths of a core."""
+    """Free processor time, in thousandths of a core."""
 
-    number: int
-    """Tells targets apart that have as much free; the earlier one goes first."""
+    sequence: int
+    """Position in order of addition; breaks ties."""
 
     target: TargetT
     """The target."""
 
 
 class TargetIndex(Generic[TargetT]):
-    """The targets of one service, by what they have free."""
+    """The targets of one service, sorted by free processor time."""
 
     def __init__(self) -> None:
-        """Hold no target."""
-        self._rows_by_class: dict[_Class, list[_Row[TargetT]]] = {}
-        self._class_by_id: dict[str, _Class] = {}
+        """Start empty."""
+        self._rows_by_class: dict[_TargetClass, list[_Row[TargetT]]] = {}
+        self._class_by_id: dict[str, _TargetClass] = {}
         self._row_by_id: dict[str, _Row[TargetT]] = {}
         self._changed: set[SharedTarget] = set()
         self._added = 0
 
     def add(self, target: TargetT) -> None:
-        """Take a target in; from now on it tells of its changes."""
+        """Add a target; from now on it reports its changes to the index."""
         self._added += 1
         self._insert(target, self._added)
-        target.changed = self._changed
+        target.changed_targets = self._changed
 
     def remove(self, target: TargetT) -> None:
-        """Let a target go."""
+        """Remove a target."""
         self._delete(target.target_id)
         self._changed.discard(target)
-        target.changed = None
+        target.changed_targets = None
 
     @property
     def targets(self) -> Sequence[TargetT]:
-        """Every target, in the order in which they were added."""
-        rows = sorted(self._row_by_id.values(), key=lambda row: row.number)
+        """All targets, in the order in which they were added."""
+        rows = sorted(self._row_by_id.values(), key=lambda row: row.sequence)
         return [row.target for row in rows]
 
     def largest_free_cpu_millis(self, is_usable: Callable[[TargetT], bool]) -> int:
-        """Return the most that a usable target has free, in thousandths of a core.
+        """Return the most that one usable target has free, in thousandths of a core.
 
         :param is_usable: whether a target may take work now.
         """
@@ -106,7 +106,9 @@
         """Return the target that :func:`choose_shared_target` would choose.
 
         :param is_usable: whether a target may take work now.
-        :param preferred_domain: where the member of its caller runs; empty: not known.
+        :param avoided: ids of targets that failed this task before.
+        :param is_tight: whether the task needs a large part of its caller's time.
+        :param preferred_domain: failure domain of its caller's member; empty: unknown.
         """
         self._update()
         if avoided or group.required_label or group.preferred_rack:
@@ -120,20 +122,21 @@
         best: _Row[TargetT] | None = None
         best_rank: tuple[bool, float, float, float, int] | None = None
         wanted = group.resources
-        for alike, rows in self._rows_by_class.items():
-            row = _first_fit(rows, wanted, is_usable)
+        for target_class, rows in self._rows_by_class.items():
+            row = _best_fit(rows, wanted, is_usable)
             if row is None:
                 continue
-            is_away = (
-                bool(preferred_domain) and alike.failure_domain != preferred_domain
+            is_remote = (
+                bool(preferred_domain)
+                and target_class.failure_domain != preferred_domain
             )
             rank = (
-                alike.is_slow,
-                alike.pace_step + is_away if is_tight else 0,
-                _left_over(row.free_cpu_millis - wanted.cpu_millis, alike)
-                + AWAY_COST * is_away,
-                -alike.pace_step,
-                row.number,
+                target_class.is_slow,
+                target_class.speed_step + is_remote if is_tight else 0,
+                _left_over(row.free_cpu_millis - wanted.cpu_millis, target_class)
+                + REMOTE_DOMAIN_PENALTY * is_remote,
+                -target_class.speed_step,
+                row.sequence,
             )
             if best_rank is None or rank < best_rank:
                 best = row
@@ -163,37 +166,39 @@
         for target in self._changed:
             row = self._row_by_id[target.target_id]
             self._delete(target.target_id)
-            self._insert(row.target, row.number)
+            self._insert(row.target, row.sequence)
         self._changed.clear()
 
-    def _insert(self, target: TargetT, number: int) -> None:
+    def _insert(self, target: TargetT, sequence: int) -> None:
         total = target.capacity.cpu_millis
-        alike = _Class(target.is_slow, target.speed.step, total, target.failure_domain)
-        row = _Row(total - target.used_cpu_millis, number, target)
-        insort(self._rows_by_class.setdefault(alike, []), row)
-        self._class_by_id[target.target_id] = alike
+        target_class = _TargetClass(
+            target.is_slow, target.speed.step, total, target.failure_domain
+        )
+        row = _Row(total - target.used_cpu_millis, sequence, target)
+        insort(self._rows_by_class.setdefault(target_class, []), row)
+        self._class_by_id[target.target_id] = target_class
         self._row_by_id[target.target_id] = row
 
     def _delete(self, target_id: str) -> None:
-        alike = self._class_by_id.pop(target_id)
+        target_class = self._class_by_id.pop(target_id)
         row = self._row_by_id.pop(target_id)
-        rows = self._rows_by_class[alike]
+        rows = self._rows_by_class[target_class]
         del rows[bisect_left(rows, row)]
         if not rows:
-            del self._rows_by_class[alike]
+            del self._rows_by_class[target_class]
 
 
-def _first_fit(
+def _best_fit(
     rows: list[_Row[TargetT]],
     wanted: Resources,
     is_usable: Callable[[TargetT], bool],
 ) -> _Row[TargetT] | None:
-    """Return the usable target with the least that is enough."""
+    """Return the usable target with the least free processor time that suffices."""
     begin = bisect_left(rows, (wanted.cpu_millis,))
-    for place in range(begin, len(rows)):
-        target = rows[place].target
+    for index in range(begin, len(rows)):
+        target = rows[index].target
         if target.has_free(wanted) and is_usable(target):
-            return rows[place]
+            return rows[index]
     return None
 
 
@@ -206,6 +211,6 @@
     return 0
 
 
-def _left_over(free_cpu_millis: int, alike: _Class) -> float:
-    total = alike.total_cpu_millis
+def _left_over(free_cpu_millis: int, target_class: _TargetClass) -> float:
+    total = target_class.total_cpu_millis
     return free_cpu_millis / total if total else 0.0
--- a/src/cassiaturn/sharing/_target_resources.py
+++ b/src/cassiaturn/sharing/_target_resources.py
@@ -1,4 +1,4 @@
-"""What a worker has for tasks, and what is taken of it."""
+"""Resources of a target, and how much of them tasks use."""
 
 from dataclasses import dataclass
 
@@ -7,29 +7,29 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class TargetResources:
-    """Resources of a target, counted exactly by its holder."""
+    """Resources of a target, as counted exactly by its holder."""
 
     target_id: str
-    """Its name."""
+    """Id of the target."""
 
     failure_domain: str
-    """Where it runs."""
+    """Failure domain of its host."""
 
     capacity: Resources
-    """What of its worker the target may use; two targets of one worker each have
-    a part of it."""
+    """Share of its worker's resources that the target may use; two targets of one
+    worker have a share each."""
 
     used_cpu_millis: int = 0
-    """Processor time taken by tasks, in thousandths of a core."""
+    """Processor time in use, in thousandths of a core."""
 
     used_memory_mib: int = 0
-    """Memory taken by tasks, in MiB."""
+    """Memory in use, in MiB."""
 
     used_accelerators: int = 0
-    """Accelerators taken by tasks."""
+    """Accelerators in use."""
 
     def has_free(self, wanted: Resources) -> bool:
-        """Return whether a task finds its resources free."""
+        """Return whether the resources of a task are free."""
         capacity = self.capacity
         return (
             self.used_cpu_millis + wanted.cpu_millis <= capacity.cpu_millis
@@ -38,7 +38,7 @@
         )
 
     def add_usage(self, wanted: Resources) -> None:
-        """Count a task's resources as taken."""
+        """Count a task's resources as in use."""
         self.used_cpu_millis += wanted.cpu_millis
         self.used_memory_mib += wanted.memory_mib
         self.used_accelerators += wanted.accelerators
--- a/src/cassiaturn/sharing/_transit_delay.py
+++ b/src/cassiaturn/sharing/_transit_delay.py
@@ -1,42 +1,43 @@
-"""How long messages of one sender lie unread before they are taken in.
+"""Estimates how long a sender's messages stay unread before they are processed.
 
-Load pattern: a leader whose process is full reads submissions seconds after they were
-sent. Taken for new, jobs whose callers have waited that long go before others that
-could still be in time, and everybody is late.
+Load pattern: a leader whose process is saturated reads submissions seconds after they
+were sent. If it treats them as new, jobs whose callers have already waited that long go
+before others that could still be in time, and all of them are late.
 
-Grounds: the clocks of two hosts have nothing in common but their rate. The difference
-between the time of sending and that of reading is least for a message that did not
-wait, so what it exceeds the least of the last seconds by is the wait.
+Grounds: the clocks of two hosts share no origin, only their rate. The difference
+between receive time and send time is smallest for a message that did not wait. The
+excess over the smallest difference of the last seconds is therefore the wait.
 """
 
 WINDOW_S = 2.0
-"""How long a least difference counts, in seconds, twice that at the most: a host that
-stood still has another one from then on."""
+"""Length of the window over which a minimum is kept, in seconds. A minimum counts for
+at most two windows: a host that was suspended has a different clock offset afterwards.
+"""
 
-LONGEST_S = 5.0
-"""Longest wait that is told, in seconds."""
+MAX_DELAY_S = 5.0
+"""Longest delay that is reported, in seconds."""
 
 
 class TransitDelay:
-    """Learns from the messages of one sender how long each lay unread."""
+    """Learns from the messages of one sender how long each stayed unread."""
 
     def __init__(self) -> None:
-        """Know nothing."""
-        self._least_s = float("inf")
-        self._least_before_s = float("inf")
+        """Start without observations."""
+        self._min_s = float("inf")
+        self._previous_min_s = float("inf")
         self._window_ends_at = float("-inf")
 
     def observe(self, sent_s: float, now: float) -> float:
-        """Take in a message, and return how long it lay unread, in seconds.
+        """Add a message and return how long it stayed unread, in seconds.
 
         :param sent_s: when it was sent, by its sender's clock, in seconds.
-        :param now: time in seconds, by the receiver's.
+        :param now: current time by the receiver's clock, in seconds.
         """
         difference_s = now - sent_s
         if now >= self._window_ends_at:
             is_old = now >= self._window_ends_at + WINDOW_S
-            self._least_before_s = float("inf") if is_old else self._least_s
-            self._least_s = difference_s
+            self._previous_min_s = float("inf") if is_old else self._min_s
+            self._min_s = difference_s
             self._window_ends_at = now + WINDOW_S
-        self._least_s = min(self._least_s, difference_s)
-        return min(difference_s - min(self._least_s, self._least_before_s), LONGEST_S)
+        self._min_s = min(self._min_s, difference_s)
+        return min(difference_s - min(self._min_s, self._previous_min_s), MAX_DELAY_S)
--- a/src/cassiaturn/sharing/tests/test_job_queue.py
+++ b/src/cassiaturn/sharing/tests/test_job_queue.py
@@ -1,4 +1,4 @@
-"""The order of a queue, and what a look at it costs."""
+"""Order, overdue jobs and memory of the job queue."""
 
 import random
 from dataclasses import dataclass
@@ -20,35 +20,35 @@
     has_waiting: bool = True
 
 
-def _draw(chance: random.Random, number: int, now: float) -> _Job:
-    due_at = now + chance.uniform(-0.2, 2.0)
+def _draw(rng: random.Random, number: int, now: float) -> _Job:
+    due_at = now + rng.uniform(-0.2, 2.0)
     return _Job(
         job_id=f"j{number}",
-        priority=chance.randrange(3),
+        priority=rng.randrange(3),
         deadlines=Deadlines(
             due_at=due_at, useful_until=due_at + 1.0, limit_at=due_at + 3.0
         ),
-        expected_run_s=chance.choice((0.06, 0.2, 0.9)),
-        least_cpu_millis=chance.randrange(1_000, 9_000),
-        waiting_cpu_millis=chance.randrange(1_000, 20_000),
+        expected_run_s=rng.choice((0.06, 0.2, 0.9)),
+        least_cpu_millis=rng.randrange(1_000, 9_000),
+        waiting_cpu_millis=rng.randrange(1_000, 20_000),
     )
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_queue_that_is_kept_in_order_is_as_one_that_is_sorted(seed: int) -> None:
-    """Jobs that became late while they were queued kept their places."""
-    chance = random.Random(seed)
+def test_queue_order_equals_sorted_order(seed: int) -> None:
+    """Guards against jobs that become late while queued keeping their positions."""
+    rng = random.Random(seed)
     queue: JobQueue[_Job] = JobQueue()
     jobs: dict[str, _Job] = {}
     now = 100.0
     for number in range(400):
-        now += chance.expovariate(50.0)
+        now += rng.expovariate(50.0)
         queue.advance(now)
-        job = _draw(chance, number, now)
+        job = _draw(rng, number, now)
         jobs[job.job_id] = job
         queue.put(job)
-        other = chance.choice(list(jobs.values()))
-        match chance.randrange(4):
+        other = rng.choice(list(jobs.values()))
+        match rng.randrange(4):
             case 0:
                 other.is_new = not other.is_new
                 queue.put(other)
@@ -63,7 +63,7 @@
         assert len(queue) == len(jobs)
         least = min((row.least_cpu_millis for row in jobs.values()), default=0)
         assert queue.least_cpu_millis == least
-        key = queue_key(_draw(chance, -1, now), now)
+        key = queue_key(_draw(rng, -1, now), now)
         ahead_s = sum(
             row.expected_run_s * row.waiting_cpu_millis
             for row in jobs.values()
@@ -72,7 +72,7 @@
         assert queue.work_ahead_s(key) == pytest.approx(ahead_s, rel=1e-3)
 
 
-def test_a_job_is_told_once_when_it_can_hardly_be_answered_any_more() -> None:
+def test_overdue_job_is_returned_once() -> None:
     queue: JobQueue[_Job] = JobQueue()
     deadlines = Deadlines(due_at=1.0, useful_until=2.0, limit_at=3.0)
     job = _Job(job_id="a", priority=0, deadlines=deadlines, expected_run_s=1.0)
@@ -87,8 +87,8 @@
     assert not queue.take_overdue(9.0)
 
 
-def test_jobs_that_are_done_leave_nothing_behind() -> None:
-    """A leader's memory grew with jobs whose callers would have waited for long."""
+def test_finished_jobs_leave_no_entries() -> None:
+    """Guards against memory growing with finished jobs that had long time limits."""
     queue: JobQueue[_Job] = JobQueue()
     queue.advance(0.0)
     for number in range(2_000):
--- a/src/cassiaturn/sharing/tests/test_job_timing.py
+++ b/src/cassiaturn/sharing/tests/test_job_timing.py
@@ -1,4 +1,4 @@
-"""Order, outlook, expected runs, pace and pauses of shared targets."""
+"""Job order, run progress, expected run times, target speeds and pauses."""
 
 import math
 import random
@@ -21,14 +21,14 @@
 @pytest.mark.parametrize(
     ("first", "second"),
     [
-        ((0, 9.0, True), (1, 2.0, True)),  # priority before time due
-        ((1, 2.0, True), (1, 3.0, True)),  # earliest time due first
-        ((1, 3.0, True), (1, 0.5, True)),  # what is late already goes after others
-        ((1, 0.2, True), (1, 0.5, True)),  # of two late ones the one due first
-        ((2, 9.0, True), (0, 0.5, False)),  # late urgent ones after any in time
-        ((1, 9.0, True), (1, 1.1, True)),  # what cannot be in time counts as late
-        ((1, 9.0, False), (1, 2.0, True)),  # what has begun is finished first
-        ((0, 9.0, True), (1, 2.0, False)),  # but not before what is more urgent
+        ((0, 9.0, True), (1, 2.0, True)),  # priority before due time
+        ((1, 2.0, True), (1, 3.0, True)),  # earliest due time first
+        ((1, 3.0, True), (1, 0.5, True)),  # jobs that are late already go last
+        ((1, 0.2, True), (1, 0.5, True)),  # of two late jobs the one due first
+        ((2, 9.0, True), (0, 0.5, False)),  # late urgent jobs go after any in time
+        ((1, 9.0, True), (1, 1.1, True)),  # jobs that cannot be in time count as late
+        ((1, 9.0, False), (1, 2.0, True)),  # started jobs go before new ones
+        ((0, 9.0, True), (1, 2.0, False)),  # but not before more urgent ones
     ],
 )
 def test_order(first: tuple[int, float, bool], second: tuple[int, float, bool]) -> None:
@@ -47,7 +47,7 @@
     assert keys == sorted(keys)
 
 
-def test_refused_callers_come_back_over_an_interval() -> None:
+def test_retries_of_refused_callers_are_spread() -> None:
     delays = [spread_retry_after(f"job-{index}", 1.0) for index in range(1_000)]
     assert min(delays) >= 1.0
     assert max(delays) <= 2.0
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("length_s", [0.2, 0.9, 1.49, 3.0])
-def test_progress_never_overstates_a_run(length_s: float) -> None:
+def test_progress_never_overstates_the_run_time(length_s: float) -> None:
     for step in range(1, 60):
         elapsed_s = length_s * step / 60
         percent = int(100 * elapsed_s / length_s)
@@ -64,21 +64,21 @@
         assert progress.least_run_s() <= length_s
 
 
-def test_progress_tells_a_hopeless_run_at_a_tenth_of_its_work() -> None:
+def test_progress_reveals_a_hopeless_run_at_a_tenth_of_its_work() -> None:
     assert Progress(elapsed_s=0.2, percent=10).least_run_s() > 1.5
 
 
-def test_little_progress_tells_nothing() -> None:
+def test_little_progress_gives_no_estimate() -> None:
     assert Progress(elapsed_s=0.2, percent=2).least_run_s() == 0.0
 
 
-def test_an_idle_service_starts_what_may_still_be_in_time() -> None:
+def test_idle_service_starts_jobs_that_may_still_be_in_time() -> None:
     idle = latest_start(limit_at=1.5, expected_run_s=2.0, is_idle=True)
     busy = latest_start(limit_at=1.5, expected_run_s=2.0, is_idle=False)
     assert busy < 0.0 < idle
 
 
-def test_expected_runs_halve_the_error_of_what_is_declared() -> None:
+def test_expected_runs_halve_the_error_of_declared_times() -> None:
     rng = random.Random(4)
     expected = ExpectedRuns()
     errors, declared_errors = [], []
@@ -92,12 +92,12 @@
     assert sum(errors[100:]) < 0.6 * sum(declared_errors[100:])
 
 
-def test_nothing_known_is_the_middle_of_usual_tasks() -> None:
+def test_default_run_time_applies_if_nothing_is_known() -> None:
     assert ExpectedRuns().expected_s("r", 0.0) == 0.3
     assert ExpectedRuns().expected_s("r", 0.9) == 0.9
 
 
-def test_pace_tells_speeds_apart_in_a_hundred_runs() -> None:
+def test_estimate_distinguishes_speeds_after_a_hundred_runs() -> None:
     rng = random.Random(7)
     steps = []
     for speed in (0.8, 1.0, 1.25):
@@ -109,27 +109,28 @@
     assert steps[0] - steps[2] >= 3
 
 
-def test_pace_mostly_tells_a_slow_target_after_six_runs() -> None:
-    """A new leader knows no speeds, and sends long tasks to targets too slow for them.
+def test_estimate_mostly_identifies_a_slow_target_after_six_runs() -> None:
+    """Guards against a new leader sending long tasks to targets too slow for them.
 
-    A leader's first seconds follow a fault, when callers have the least time to spare.
+    It knows no speeds, and its first seconds follow a fault, when callers have the
+    least time to spare.
     """
-    told = 0
+    identified = 0
     for seed in range(200):
         rng = random.Random(seed)
-        usual, slow = SpeedEstimate(), SpeedEstimate()
+        average, slow = SpeedEstimate(), SpeedEstimate()
         for _ in range(6):
-            usual.observe(rng.lognormvariate(0.0, 0.3))
+            average.observe(rng.lognormvariate(0.0, 0.3))
             slow.observe(rng.lognormvariate(0.0, 0.3) * 1.3)
-        told += slow.step > usual.step
-    assert told >= 200 * 2 / 3
+        identified += slow.step > average.step
+    assert identified >= 200 * 2 / 3
 
 
 @pytest.mark.parametrize(("run_s", "is_tight"), [(0.06, False), (0.9, True)])
-def test_tight_runs(run_s: float, is_tight: bool) -> None:
+def test_runs_that_need_a_fast_target(run_s: float, is_tight: bool) -> None:
     assert needs_fast_target(expected_run_s=run_s, limit_s=1.5) is is_tight
 
 
-def test_pauses_double_up_to_their_longest() -> None:
+def test_pauses_double_up_to_the_maximum() -> None:
     pauses = [failed_target_pause_s(count) for count in (1, 2, 3, 4, 50)]
     assert pauses == [0.25, 0.5, 1.0, 2.0, 2.0]
--- a/src/cassiaturn/sharing/tests/test_packing.py
+++ b/src/cassiaturn/sharing/tests/test_packing.py
@@ -34,7 +34,7 @@
     return target.target_id if target is not None else None
 
 
-def test_the_fullest_target_that_fits_is_taken() -> None:
+def test_fullest_target_that_fits_is_chosen() -> None:
     chosen = _chosen(
         _group(),
         _target("empty", 16_000),
@@ -44,10 +44,10 @@
     assert chosen == "half"
 
 
-def test_two_sizes_pack_without_useless_rests() -> None:
-    """Load: 9-core and 5-core tasks on 16-core workers, one after another.
+def test_two_task_sizes_pack_without_fragments() -> None:
+    """5-core tasks are placed on 16-core workers, then 9-core tasks.
 
-    Least loaded first spreads the small ones, until no worker has 9 cores free.
+    Least loaded first spreads the small ones until no worker has 9 cores free.
     """
     targets = [_target(f"t{index}", 16_000) for index in range(4)]
     placed = 0
@@ -70,7 +70,9 @@
         (_group(cpu=20_000), None),
     ],
 )
-def test_what_a_group_asks_for_is_kept(group: TaskGroup, chosen: str | None) -> None:
+def test_constraints_of_a_group_are_honoured(
+    group: TaskGroup, chosen: str | None
+) -> None:
     plain = _target("plain", 16_000, 1_000)
     plain.tasks_by_group[KEY] = 1
     labels = frozenset({"gpu-kind", "rack-2"})
@@ -78,7 +80,7 @@
     assert _chosen(group, plain, labelled) == chosen
 
 
-def test_slow_and_avoided_targets_come_last() -> None:
+def test_slow_and_avoided_targets_are_chosen_last() -> None:
     slow = _target("slow", 16_000, 8_000, slowness=4.0)
     sound = _target("sound", 16_000)
     assert _chosen(_group(), slow, sound) == "sound"
@@ -86,7 +88,7 @@
     assert _chosen(_group(), slow) == "slow"
 
 
-def test_tight_tasks_go_to_fast_targets_and_others_to_slow_ones() -> None:
+def test_tight_tasks_get_fast_targets_and_others_slow_ones() -> None:
     fast, usual = _target("fast", 16_000), _target("usual", 16_000)
     for _ in range(100):
         fast.speed.observe(0.8)
@@ -103,10 +105,10 @@
         (0, True, "home"),
     ],
 )
-def test_tasks_stay_near_the_member_of_their_caller(
+def test_tasks_prefer_the_failure_domain_of_their_callers_member(
     used_away: int, is_tight: bool, chosen: str
 ) -> None:
-    """A cut between domains ended jobs whose tasks were spread over all of them."""
+    """Otherwise jobs span all domains, and a partition between them ends most jobs."""
     home = _target("home", 16_000, failure_domain="h")
     away = _target("away", 16_000, used_away, failure_domain="e")
     assert (
@@ -114,7 +116,7 @@
     )
 
 
-def test_a_tight_task_leaves_home_for_a_target_that_is_much_faster() -> None:
+def test_tight_task_leaves_its_domain_for_a_much_faster_target() -> None:
     home = _target("home", 16_000, failure_domain="h")
     away = _target("away", 16_000, failure_domain="e")
     for _ in range(100):
@@ -122,6 +124,6 @@
     assert _chosen(_group(), home, away, is_tight=True, preferred_domain="h") == "away"
 
 
-def test_giving_back_what_was_never_taken_is_a_fault() -> None:
+def test_release_without_allocation_raises() -> None:
     with pytest.raises(AssertionError, match="never began"):
         _target("t", 16_000).release(Resources(cpu_millis=1), KEY)
--- a/src/cassiaturn/sharing/tests/test_slow_leader.py
+++ b/src/cassiaturn/sharing/tests/test_slow_leader.py
@@ -1,4 +1,4 @@
-"""What callers get from a leader that needs more processor time than it has."""
+"""What a leader serves that needs more processor time than it has, in simulation."""
 
 import random
 from dataclasses import dataclass, field
@@ -22,14 +22,14 @@
 """Processor time for reading a submission, in seconds."""
 
 START_S = 0.0011
-"""Processor time for starting a job and hearing of its end, in seconds."""
+"""Processor time for starting a job and processing its end, in seconds."""
 
 TIMER_S = 0.05
 
 HEARTBEAT_S = 0.15
 
 TASKS = 4
-"""Tasks of a job, of which each is a start."""
+"""Tasks of a job, each of which is one start."""
 
 PAUSE_AT_S = 4.0
 
@@ -37,11 +37,11 @@
 
 LENGTH_S = 12.0
 
-BEGIN_S = 2.0
-"""Time in which the leader learns how much it can take, in seconds; not counted."""
+WARM_UP_S = 2.0
+"""Warm-up in which the leader learns its capacity, in seconds; not counted."""
 
 KINDS = ((0, 0.05, 0.2), (1, 0.16, 0.65), (2, 0.9, 0.15))
-"""Priority, run time in seconds, and share of the jobs of each kind."""
+"""Priority, run time in seconds, and share of all jobs, for each kind."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
@@ -70,13 +70,13 @@
 
 
 def _draw_jobs(rate: float) -> list[_Job]:
-    chance = random.Random(8)
+    rng = random.Random(8)
     jobs: list[_Job] = []
     now = 0.0
     while now < LENGTH_S:
-        now += chance.expovariate(rate)
+        now += rng.expovariate(rate)
         weights = [share for _, _, share in KINDS]
-        ((priority, run_s, _),) = chance.choices(KINDS, weights)
+        ((priority, run_s, _),) = rng.choices(KINDS, weights)
         limit_at = now + 3.0 * (1.6 * run_s + 0.06) + 1.6
         jobs.append(
             _Job(
@@ -92,19 +92,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Leader:
-    """An event loop that reads what has come, and then starts some of what waits."""
+    """An event loop that reads all received jobs, then starts some queued ones."""
 
     load: float
-    """Processor time that it needs, over what it has."""
+    """Required processor time over the available."""
 
     pause_s: float = 0.0
-    """How long it stands still from :data:`PAUSE_AT_S` on, in seconds."""
+    """How long it is suspended from :data:`PAUSE_AT_S` on, in seconds."""
 
-    most_starts: float = MOST_STARTS // TASKS
-    knows_waits: bool = True
+    max_starts: float = MOST_STARTS // TASKS
+    uses_transit_delay: bool = True
 
     now: float = 0.0
-    in_aim: int = 0
+    in_time: int = 0
     counted: int = 0
     _queue: JobQueue[_Job] = field(default_factory=JobQueue)
     _transit_delay: TransitDelay = field(default_factory=TransitDelay)
@@ -112,9 +112,9 @@
     _behind_since: float | None = None
 
     def run(self) -> float:
-        """Play a load; returns the share of the callers that are served in time."""
+        """Simulate the load; return the share of callers that are served in time."""
         jobs = _draw_jobs(self.load / (READ_S + START_S))
-        told_share, told_at, timer_at = 0.0, 0.0, TIMER_S
+        known_share, heartbeat_at, timer_at = 0.0, 0.0, TIMER_S
         number = 0
         while number < len(jobs) or len(self._queue):
             if PAUSE_AT_S <= self.now < PAUSE_AT_S + self.pause_s:
@@ -123,7 +123,7 @@
                 self.now = max(self.now, min(jobs[number].arrived_at, timer_at))
             read_until = self.now
             while number < len(jobs) and jobs[number].arrived_at <= read_until:
-                self._take(jobs[number], told_share)
+                self._accept(jobs[number], known_share)
                 number += 1
             self._queue.advance(self.now)
             for job in self._queue.take_overdue(self.now):
@@ -135,12 +135,12 @@
                 late_s = self.now - timer_at
                 self._shedder.observe(late_s, self.now, behind_s=behind_s)
                 timer_at = self.now + TIMER_S
-            if self.now - told_at >= HEARTBEAT_S:
-                told_at, told_share = self.now, self._shedder.share
-        return self.in_aim / self.counted
+            if self.now - heartbeat_at >= HEARTBEAT_S:
+                heartbeat_at, known_share = self.now, self._shedder.share
+        return self.in_time / self.counted
 
-    def _take(self, job: _Job, shed_share: float) -> None:
-        self.counted += job.arrived_at >= BEGIN_S
+    def _accept(self, job: _Job, shed_share: float) -> None:
+        self.counted += job.arrived_at >= WARM_UP_S
         if is_shed(
             job.job_id, share=shed_share, priority=job.priority, priorities=(0, 1, 2)
         ):
@@ -149,7 +149,7 @@
         unread_s = self._transit_delay.observe(
             job.arrived_at + CLOCK_OFFSET_S, self.now
         )
-        if not self.knows_waits:
+        if not self.uses_transit_delay:
             unread_s = 0.0
         limit_s = job.deadlines.limit_at - job.arrived_at
         begin = self.now - unread_s
@@ -160,49 +160,49 @@
     def _start(self) -> None:
         left: Lateness | None = None
         for started, job in enumerate(self._queue.in_order()):
-            if started >= self.most_starts:
+            if started >= self.max_starts:
                 left = queue_key(job, self.now).lateness
                 break
             self.now += START_S
             self._queue.discard(job)
             due_at = job.arrived_at + 1.6 * job.expected_run_s + 0.06
-            if job.arrived_at >= BEGIN_S:
-                self.in_aim += self.now + job.expected_run_s <= due_at
+            if job.arrived_at >= WARM_UP_S:
+                self.in_time += self.now + job.expected_run_s <= due_at
         if left is not Lateness.IN_TIME:
             self._behind_since = None
         elif self._behind_since is None:
             self._behind_since = self.now
 
 
-def _most(load: float) -> float:
-    """Return the share that can be started at all, if every job is read."""
+def _max_share(load: float) -> float:
+    """Return the largest share of jobs that can be started if all of them are read."""
     time_to_start = max(0.0, 1.0 - load * READ_S / (READ_S + START_S))
     return min(1.0, time_to_start * (READ_S + START_S) / START_S / load)
 
 
 @pytest.mark.parametrize("load", [1.0, 1.2, 1.5, 2.0])
-def test_a_leader_that_needs_more_time_than_it_has_serves_what_it_can(
+def test_overloaded_leader_serves_what_its_processor_allows(
     load: float,
 ) -> None:
-    """A leader a little too slow turned from serving all to serving a thirtieth."""
-    assert _Leader(load=load).run() >= 0.9 * _most(load)
+    """Guards against a drop to a thirtieth of the callers slightly past the limit."""
+    assert _Leader(load=load).run() >= 0.9 * _max_share(load)
 
 
 @pytest.mark.parametrize("load", [0.8, 1.0])
-def test_a_leader_that_stood_still_serves_new_callers_before_late_ones(
+def test_resumed_leader_serves_new_callers_before_late_ones(
     load: float,
 ) -> None:
-    """After a pause jobs that were late took all the time, and made new ones late."""
-    ours = _Leader(load=load, pause_s=1.0).run()
-    in_one_go = _Leader(load=load, pause_s=1.0, most_starts=float("inf")).run()
-    assert ours >= in_one_go + 0.05
+    """Otherwise, after a pause, late jobs take all the time and make new ones late."""
+    bounded = _Leader(load=load, pause_s=1.0).run()
+    unbounded = _Leader(load=load, pause_s=1.0, max_starts=float("inf")).run()
+    assert bounded >= unbounded + 0.05
 
 
-def test_a_leader_below_its_limit_serves_everybody() -> None:
+def test_leader_below_its_limit_serves_all_callers() -> None:
     assert _Leader(load=0.8).run() >= 0.99
 
 
-def test_waits_on_the_way_to_a_leader_count() -> None:
-    """Jobs that had waited unread at a full leader were taken for new ones."""
-    told = _Leader(load=0.8, pause_s=1.0).run()
-    assert told > _Leader(load=0.8, pause_s=1.0, knows_waits=False).run()
+def test_time_unread_at_the_leader_counts_as_waiting() -> None:
+    """Guards against treating jobs that stayed unread at a saturated leader as new."""
+    with_delay = _Leader(load=0.8, pause_s=1.0).run()
+    assert with_delay > _Leader(load=0.8, pause_s=1.0, uses_transit_delay=False).run()
--- a/src/cassiaturn/sharing/tests/test_target_index.py
+++ b/src/cassiaturn/sharing/tests/test_target_index.py
@@ -1,4 +1,4 @@
-"""The index finds the same target as a look at each one."""
+"""The index chooses the same target as an examination of all of them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -47,8 +47,8 @@
 TASK = Resources(cpu_millis=5_000, memory_mib=300)
 
 
-def _change(target: SharedTarget, what: str) -> None:
-    match what:
+def _change(target: SharedTarget, change: str) -> None:
+    match change:
         case "take" if target.has_free(TASK):
             target.allocate(TASK, KEY)
         case "give_back" if target.tasks_by_group:
@@ -74,7 +74,7 @@
     preferred_domain=st.sampled_from(["", "e"]),
     removed=st.integers(0, 8),
 )
-def test_the_index_chooses_what_a_look_at_each_target_would(
+def test_index_chooses_the_same_target_as_a_full_scan(
     targets: list[SharedTarget],
     changes: list[tuple[int, str]],
     group: TaskGroup,
@@ -83,13 +83,13 @@
     preferred_domain: str,
     removed: int,
 ) -> None:
-    """An index that misses a change starts tasks where there is no room."""
+    """An index that misses a change starts tasks on targets without free resources."""
     index = TargetIndex[SharedTarget]()
     for target in targets:
         index.add(target)
-    for place, what in changes:
-        if place < len(targets):
-            _change(targets[place], what)
+    for position, change in changes:
+        if position < len(targets):
+            _change(targets[position], change)
             assert index.largest_free_cpu_millis(_is_usable) == max(
                 target.capacity.cpu_millis - target.used_cpu_millis
                 for target in targets
