--- a/src/cassiaturn/targets/__init__.py
+++ b/src/cassiaturn/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions with runners, the targets that run tasks."""
+"""Client side of the runner protocol: sessions with targets, and fencing."""
 
 from cassiaturn.targets._backoff import Backoff
 from cassiaturn.targets._errors import TargetError, TargetProblem
--- a/src/cassiaturn/targets/_backoff.py
+++ b/src/cassiaturn/targets/_backoff.py
@@ -1,41 +1,41 @@
-"""Pauses between attempts to connect."""
+"""Exponential backoff with jitter between connection attempts."""
 
 import random
 
-FIRST_PAUSE_S = 0.05
-"""Pause after the first failure: a restarted process is back soon."""
+INITIAL_PAUSE_S = 0.05
+"""Upper bound of the first pause, in seconds: a restarted process is back soon."""
 
-LONGEST_PAUSE_S = 2.0
-"""Longest pause, so that a target that returns is in use within seconds."""
+MAX_PAUSE_S = 2.0
+"""Upper bound of all pauses, in seconds: a target that returns is in use within
+seconds."""
 
-GROWTH = 2.0
-"""Factor between one pause and the next."""
+GROWTH_FACTOR = 2.0
+"""Factor between the upper bounds of one pause and the next."""
 
 
 class Backoff:
-    """Growing pauses with full jitter, for one peer.
+    """Exponential backoff with full jitter, for one peer.
 
-    Without jitter, all instances that lost a target at the same moment would
-    connect again at the same moment, and its connection limit would refuse
-    some of them each time.
+    Without jitter, all instances that lost a target at the same moment would reconnect
+    at the same moment, and its connection limit would refuse some of them each time.
     """
 
     __slots__ = ("_pause_s", "_random")
 
     def __init__(self, *, seed: int | None = None) -> None:
-        """Start at the shortest pause.
+        """Start at the initial pause.
 
-        :param seed: makes the pauses reproducible; None: seeded by the system.
+        :param seed: seed for reproducible pauses; None: seeded by the system.
         """
         self._random = random.Random(seed)
-        self._pause_s = FIRST_PAUSE_S
+        self._pause_s = INITIAL_PAUSE_S
 
     def reset(self) -> None:
-        """Return to the shortest pause, after a connection that worked."""
-        self._pause_s = FIRST_PAUSE_S
+        """Return to the initial pause, after a successful connection."""
+        self._pause_s = INITIAL_PAUSE_S
 
     def next_pause_s(self) -> float:
-        """Return the next pause in seconds and lengthen the one after it."""
+        """Return the next pause in seconds and raise the bound of the following one."""
         pause_s = self._random.uniform(0.0, self._pause_s)
-        self._pause_s = min(self._pause_s * GROWTH, LONGEST_PAUSE_S)
+        self._pause_s = min(self._pause_s * GROWTH_FACTOR, MAX_PAUSE_S)
         return pause_s
--- a/src/cassiaturn/targets/_errors.py
+++ b/src/cassiaturn/targets/_errors.py
@@ -1,11 +1,11 @@
-"""Why a target could not be asked."""
+"""Errors of calls to a target."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class TargetProblem(Enum):
-    """What went wrong with a call to a target."""
+    """Kind of failure of a call to a target."""
 
     TIMEOUT = "timeout"
     UNREACHABLE = "unreachable"
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetError:
-    """The outcome of a call to a target that gave no answer.
+    """A call to a target that got no reply.
 
     Whether the target acted on the call is unknown.
     """
 
     problem: TargetProblem
-    """What went wrong."""
+    """Kind of failure."""
 
     detail: str
-    """One sentence for people."""
+    """Description for log lines."""
--- a/src/cassiaturn/targets/_fence.py
+++ b/src/cassiaturn/targets/_fence.py
@@ -1,4 +1,4 @@
-"""The call that shuts a dead incarnation out of a target."""
+"""The call that fences a dead incarnation off at a target."""
 
 from collections.abc import Iterable
 
@@ -21,18 +21,20 @@
     only_tell: bool = False,
     about: Iterable[TaskKey] = (),
 ) -> Result[FenceReply, TargetError]:
-    """Have a target refuse later starts of a home and tell what it began.
-
-    It uses a connection of its own, since a successor need not be the holder
-    of the target. Repeating it is safe.
-
-    :param address: the target.
-    :param home: incarnation to shut out.
-    :param only_tell: leave the home in force and only tell what it began.
-    :param about: limits what is told to these tasks; empty: all.
-    :param lease_ms: extends the leases of its running tasks, in milliseconds.
-    :param timeout_s: longest wait for the reply, in seconds.
-    :returns: what the target began for that home, or why it gave no answer.
+    """Make a target refuse later starts of a home and list the tasks it started.
+
+    The call uses its own connection, since a successor need not be the holder of the
+    target. It is idempotent.
+
+    :param address: address of the target.
+    :param home: incarnation to fence.
+    :param timeout_s: timeout of the call, in seconds.
+    :param lease_ms: extension of the leases of the home's running tasks, in
+        milliseconds.
+    :param only_tell: only list the home's started tasks, without fencing it.
+    :param about: limits the list to these tasks; empty: all.
+    :returns: the tasks that the target started for that home, or why there was no
+        reply.
     """
     channel = Channel(address.host, address.port)
     try:
--- a/src/cassiaturn/targets/_session.py
+++ b/src/cassiaturn/targets/_session.py
@@ -1,4 +1,4 @@
-"""The long-lived stream from the holder of a target to its runner."""
+"""Long-lived stream from the holder of a target to its runner."""
 
 import asyncio
 import time
@@ -19,15 +19,16 @@
 from cassiaturn.v1.runner_pb2 import FromRunner, ToRunner, Welcome
 
 CONNECT_TIMEOUT_S = 2.0
-"""Longest wait for a connection and its welcome frame."""
+"""Timeout for a connection and its welcome frame, in seconds."""
 
 CLOSE_TIMEOUT_S = 1.0
-"""Longest wait for the last frame to leave when a session is closed."""
+"""Timeout for sending the last frame when a session is closed, in seconds."""
 
 SILENCE_TIMEOUT_S = 5.0
-"""A runner sends a frame at least every second; five missed ones are a loss."""
+"""Time without a frame after which the stream counts as lost, in seconds: a runner
+sends a frame at least every second, so five are missing."""
 
-_LOST = (
+_STREAM_ERRORS = (
     OSError,
     TimeoutError,
     GRPCError,
@@ -41,26 +42,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SessionCallbacks:
-    """What a session tells its owner; plain functions that must not block."""
+    """Callbacks of a session to its owner; plain functions that must not block."""
 
     on_welcome: Callable[[str, Welcome], None]
-    """A stream stands. The frame that follows lists every task of this holder
-    that the runner runs or whose result it keeps. What is not listed was not
-    begun, and never will be from the earlier stream."""
+    """A stream is established; called with the target id and its welcome. The frame
+    that follows lists every task of this holder that the runner runs or whose result it
+    keeps. Tasks not listed were not started, and starts sent on an earlier stream will
+    not be carried out any more."""
 
     on_frame: Callable[[str, FromRunner], None]
-    """Each frame, the one with the welcome included."""
+    """Called for each frame, including the one with the welcome."""
 
     on_lost: Callable[[str], None]
-    """The stream is gone; what was sent on it may or may not have arrived."""
+    """The stream is lost; what was sent on it may or may not have arrived."""
 
 
 class RunnerSession:
-    """One holder's stream to one runner, opened again until closed.
+    """One holder's stream to one runner, reopened on loss until the session is closed.
 
-    Fill ``outbox.pending`` and call ``outbox.notify()``. Each stream has an
-    outbox of its own: what a lost stream had not sent is dropped, for the
-    welcome of the next one tells what arrived.
+    To send, fill ``outbox.pending`` and call ``outbox.notify()``. Each stream has its
+    own outbox: what a lost stream had not sent is dropped, since the frame with the
+    next welcome shows what arrived.
     """
 
     def __init__(
@@ -75,12 +77,13 @@
     ) -> None:
         """Prepare a session; :meth:`start` opens it.
 
-        :param target_id: the target that is expected at the address.
-        :param address: where the runner listens.
+        :param target_id: id of the target that is expected at the address.
+        :param address: address on which the runner listens.
         :param holder: incarnation of this instance.
-        :param callbacks: who is told of frames and losses.
-        :param silence_timeout_s: time without a frame that counts as a loss.
-        :param backoff: pauses between attempts; None: the usual ones.
+        :param callbacks: receive frames and losses.
+        :param silence_timeout_s: time without a frame after which the stream counts as
+            lost, in seconds.
+        :param backoff: pauses between connection attempts; None: the default ones.
         """
         self.target_id = target_id
         self.address = address
@@ -94,15 +97,15 @@
         self._task: asyncio.Task[None] | None = None
         self._closing = False
         self._clock_ms = 0
-        self._clock_seen_at = 0.0
+        self._clock_read_at = 0.0
 
     def start(self) -> None:
-        """Open the stream in the background, and again whenever it is lost."""
+        """Open the stream in the background, and reopen it whenever it is lost."""
         self._task = asyncio.create_task(self._run(), name=f"runner-{self.target_id}")
         self._task.add_done_callback(_report_failure)
 
     async def close(self) -> None:
-        """Send what is pending, end the stream; no callback comes after this."""
+        """Send what is pending and end the stream; no callback is called afterwards."""
         if self._task is None:
             return
         self._closing = True
@@ -116,17 +119,17 @@
     def runner_clock(self, now: float) -> int:
         """Return a lower bound of the runner's own clock.
 
-        The runner stamped the latest frame before this process read it, so
-        the stamp plus the time since the reading never passes the true clock,
-        however long the frame was under way. A start-by time built on it can
-        be too early and cause a refusal, never too late.
+        The runner stamped the latest frame before this process read it. So the stamp
+        plus the time since then never exceeds the true clock, however long the frame
+        was in transit. A start-by time based on it can be too early and cause a
+        refusal, but never too late.
 
         :param now: ``time.monotonic()`` of this process, in seconds.
         :returns: milliseconds on the runner's clock; 0 before the first frame.
         """
         if not self._clock_ms:
             return 0
-        return self._clock_ms + int((now - self._clock_seen_at) * 1000)
+        return self._clock_ms + int((now - self._clock_read_at) * 1000)
 
     async def _run(self) -> None:
         while not self._closing:
@@ -136,7 +139,7 @@
                 log_event(
                     Event.FRAME_MALFORMED, target_id=self.target_id, detail=str(error)
                 )
-            except _LOST as error:
+            except _STREAM_ERRORS as error:
                 self._log_loss(str(error) or type(error).__name__)
             if not self._closing:
                 await asyncio.sleep(self._backoff.next_pause_s())
@@ -160,9 +163,9 @@
         found = first.welcome.target_id
         if found == self.target_id:
             return True
-        # A stale address can lead to another runner. Its slots would be
-        # counted under the wrong name and overrun; so the stream is dropped.
-        self._log_loss(f"another target answers: {found!r}")
+        # A stale address can lead to another runner. Its slots would be counted for
+        # the wrong target and overcommitted, so the stream is dropped.
+        self._log_loss(f"unexpected target at this address: {found!r}")
         return False
 
     def _log_loss(self, detail: str) -> None:
@@ -181,10 +184,10 @@
             Event.TARGET_CONNECTED, target_id=self.target_id, address=self.address
         )
         try:
-            self._note_clock(first)
+            self._record_clock(first)
             self._callbacks.on_welcome(self.target_id, first.welcome)
             self._callbacks.on_frame(self.target_id, first)
-            await _first_to_end(
+            await _run_until_first_ends(
                 self._receive(stream),
                 self.outbox.pump(stream.send_message),
                 self._watch_silence(),
@@ -195,35 +198,35 @@
 
     async def _receive(self, stream: _RunnerStream) -> None:
         async for frame in stream:
-            self._note_clock(frame)
+            self._record_clock(frame)
             self._callbacks.on_frame(self.target_id, frame)
 
     async def _watch_silence(self) -> None:
-        # A paused runner keeps its connection open and would hold slots that
-        # nobody can use; silence is the only sign of it.
+        # A paused runner keeps its connection open and its slots stay occupied. Only
+        # missing frames reveal it.
         while True:
-            silent_s = time.monotonic() - self._clock_seen_at
+            silent_s = time.monotonic() - self._clock_read_at
             if silent_s > self._silence_timeout_s:
-                raise TimeoutError(f"silent for {silent_s:.1f} s")
+                raise TimeoutError(f"no frame for {silent_s:.1f} s")
             await asyncio.sleep(self._silence_timeout_s / 4)
 
-    def _note_clock(self, frame: FromRunner) -> None:
+    def _record_clock(self, frame: FromRunner) -> None:
         self.frames_received += 1
         self._clock_ms = frame.clock_ms
-        self._clock_seen_at = time.monotonic()
+        self._clock_read_at = time.monotonic()
 
 
 def _report_failure(task: "asyncio.Task[None]") -> None:
-    # A fault in a callback ends the session. Unreported, the target would stay
-    # unused until the process ends, and nothing would say why.
+    # An error in a callback ends the session. Unreported, the target would stay unused
+    # until the process ends, without any hint at the cause.
     if not task.cancelled() and task.exception() is not None:
         task.get_loop().call_exception_handler(
             {"message": f"{task.get_name()} ended", "exception": task.exception()}
         )
 
 
-async def _first_to_end(*jobs: Coroutine[Any, Any, None]) -> None:
-    tasks = [asyncio.create_task(job) for job in jobs]
+async def _run_until_first_ends(*coroutines: Coroutine[Any, Any, None]) -> None:
+    tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     try:
         done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
--- a/src/cassiaturn/targets/tests/test_faults.py
+++ b/src/cassiaturn/targets/tests/test_faults.py
@@ -9,9 +9,9 @@
 from cassiaturn.v1 import runner_pb2 as pb
 
 HOST = "127.0.0.1"
-PATIENCE_S = 5.0
-TRUNCATED = "\x0a\x7f"
-"""As a welcome: a field that claims more bytes than there are."""
+TIMEOUT_S = 5.0
+TRUNCATED_FIELD = "\x0a\x7f"
+"""Decoded as a welcome, a field whose length exceeds the bytes that follow."""
 
 
 class _Runner:
@@ -50,7 +50,7 @@
     return
 
 
-async def _streams_until_second(reply: Any, port: int, welcomes: list[str]) -> None:
+async def _run_until_second_stream(reply: Any, port: int, welcomes: list[str]) -> None:
     runner = _Runner(reply=reply)
     server = Server([runner])
     await server.start(HOST, port)
@@ -61,7 +61,7 @@
     )
     session = session_at(port, callbacks)
     session.start()
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         await runner.second_stream.wait()
     await session.close()
     server.close()
@@ -69,32 +69,32 @@
 
 
 async def test_malformed_frame_ends_the_stream_only(unused_tcp_port: int) -> None:
-    """A runner sends bytes that are no frame.
+    """A runner sends bytes that are not a valid frame.
 
-    The session drops that stream and connects again; its owner sees nothing of
-    it, and the process goes on.
+    The session must drop only that stream and reconnect. Its owner gets no callback,
+    and the process keeps running.
     """
     welcomes: list[str] = []
-    reply = pb.StartTask(method=TRUNCATED)
-    await _streams_until_second(reply, unused_tcp_port, welcomes)
+    reply = pb.StartTask(method=TRUNCATED_FIELD)
+    await _run_until_second_stream(reply, unused_tcp_port, welcomes)
     assert welcomes == []
 
 
 async def test_another_runner_at_the_address_is_not_used(
     unused_tcp_port: int,
 ) -> None:
-    """The list of addresses is stale and leads to another runner.
+    """A stale address list leads to another runner.
 
-    Starts sent there would be counted against the wrong slots, so the stream is
-    dropped before its owner hears of it.
+    Starts sent there would be counted against the wrong slots, so the stream must be
+    dropped before its owner gets a callback.
     """
     welcomes: list[str] = []
     reply = pb.FromRunner(welcome=pb.Welcome(target_id="t2"))
-    await _streams_until_second(reply, unused_tcp_port, welcomes)
+    await _run_until_second_stream(reply, unused_tcp_port, welcomes)
     assert welcomes == []
 
 
-async def test_fault_of_a_callback_is_reported(unused_tcp_port: int) -> None:
+async def test_error_in_a_callback_is_reported(unused_tcp_port: int) -> None:
     reported: asyncio.Queue[object] = asyncio.Queue()
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
@@ -112,13 +112,13 @@
         SessionCallbacks(on_welcome=fail, on_frame=ignore, on_lost=ignore),
     )
     session.start()
-    failure = await asyncio.wait_for(reported.get(), PATIENCE_S)
+    failure = await asyncio.wait_for(reported.get(), TIMEOUT_S)
     assert isinstance(failure, AssertionError)
     server.close()
     await server.wait_closed()
 
 
-async def test_fence_of_a_target_that_is_down(unused_tcp_port: int) -> None:
+async def test_fence_of_an_unreachable_target_fails(unused_tcp_port: int) -> None:
     address = Address(host=HOST, port=unused_tcp_port)
     outcome = await fence(address=address, home="home", timeout_s=1.0)
     assert outcome.failure().problem is TargetProblem.UNREACHABLE
--- a/src/cassiaturn/targets/tests/test_session.py
+++ b/src/cassiaturn/targets/tests/test_session.py
@@ -21,12 +21,12 @@
 from cassiaturn.v1 import runner_pb2 as pb
 
 METHOD = "test.v1.Test/Echo"
-PATIENCE_S = 5.0
+TIMEOUT_S = 5.0
 
 
 @dataclass(slots=True)
-class Seen:
-    """What a session told its owner."""
+class Received:
+    """What a session passed to its callbacks."""
 
     results: list[pb.TaskResult] = field(default_factory=list)
     refusals: list[pb.StartRefusal] = field(default_factory=list)
@@ -34,8 +34,8 @@
     losses: int = 0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def until(self, is_met: Callable[["Seen"], bool]) -> None:
-        async with asyncio.timeout(PATIENCE_S):
+    async def until(self, is_met: Callable[["Received"], bool]) -> None:
+        async with asyncio.timeout(TIMEOUT_S):
             while not is_met(self):
                 self.changed.clear()
                 await self.changed.wait()
@@ -55,12 +55,12 @@
 
 
 @dataclass(slots=True)
-class Rig:
+class Connection:
     """A runner and a session with it."""
 
     host: RunnerHost
     session: RunnerSession
-    seen: Seen
+    received: Received
     journal: Path
 
     @property
@@ -84,103 +84,112 @@
 
 
 @pytest.fixture
-async def rig(tmp_path: Path) -> AsyncIterator[Rig]:
+async def connection(tmp_path: Path) -> AsyncIterator[Connection]:
     journal = tmp_path / "t1.jsonl"
     runner = RunnerSettings(target_id="t1", port=0, slots=2, journal=journal)
     host = RunnerHost(
         settings=RunnerHostSettings(runners=[runner], run_time=RunTime(median_ms=20))
     )
     await host.start()
-    seen = Seen()
+    received = Received()
     session = RunnerSession(
         target_id="t1",
         address=Address(host="127.0.0.1", port=host.runners_by_id["t1"].port),
         holder="holder-1",
         callbacks=SessionCallbacks(
-            on_welcome=seen.on_welcome,
-            on_frame=seen.on_frame,
-            on_lost=seen.on_lost,
+            on_welcome=received.on_welcome,
+            on_frame=received.on_frame,
+            on_lost=received.on_lost,
         ),
     )
     session.start()
-    await seen.until(lambda seen: seen.welcomes == 1)
-    yield Rig(host=host, session=session, seen=seen, journal=journal)
+    await received.until(lambda received: received.welcomes == 1)
+    yield Connection(host=host, session=session, received=received, journal=journal)
     await session.close()
     await host.close()
 
 
-async def test_a_started_task_answers_its_own_payload(rig: Rig) -> None:
-    rig.send_start(0)
-    await rig.seen.until(lambda seen: len(seen.results) == 1)
-    result = rig.seen.results[0]
+async def test_started_task_returns_the_result_for_its_payload(
+    connection: Connection,
+) -> None:
+    connection.send_start(0)
+    await connection.received.until(lambda received: len(received.results) == 1)
+    result = connection.received.results[0]
     key = TaskKey("s", 0)
     assert result.status == pb.TASK_STATUS_DONE
     assert result.result == reply_to(method=METHOD, payload=b"payload", key=key)
-    events = [entry.event for entry in read_journal(rig.journal)]
+    events = [entry.event for entry in read_journal(connection.journal)]
     assert events == [JournalEvent.STARTED, JournalEvent.ENDED]
 
 
-async def test_slots_are_enforced(rig: Rig) -> None:
+async def test_slots_are_enforced(connection: Connection) -> None:
     for index in range(3):
-        rig.send_start(index)
-    await rig.seen.until(lambda seen: len(seen.results) == 2)
-    assert rig.seen.refusals[0].reason == pb.REFUSAL_REASON_BUSY
+        connection.send_start(index)
+    await connection.received.until(lambda received: len(received.results) == 2)
+    assert connection.received.refusals[0].reason == pb.REFUSAL_REASON_BUSY
 
 
-async def test_start_after_its_start_by_time_is_refused(rig: Rig) -> None:
-    """A holder pauses between building a start and sending it.
+async def test_start_after_its_start_by_time_is_refused(connection: Connection) -> None:
+    """A holder is suspended between building a start and sending it.
 
-    The home has given the task up meanwhile and told the caller "not run". The
-    start arrives after its start-by time; if it ran, that answer would be false.
+    Meanwhile the home has given up the task and answered "not run" to the caller. The
+    start arrives after its start-by time; if the task ran, that answer would be false.
     """
-    rig.send_start(0, start_by_ms=rig.session.runner_clock(time.monotonic()) - 1)
-    await rig.seen.until(lambda seen: len(seen.refusals) == 1)
-    assert rig.seen.refusals[0].reason == pb.REFUSAL_REASON_LATE
+    connection.send_start(
+        0, start_by_ms=connection.session.runner_clock(time.monotonic()) - 1
+    )
+    await connection.received.until(lambda received: len(received.refusals) == 1)
+    assert connection.received.refusals[0].reason == pb.REFUSAL_REASON_LATE
     assert all(
-        entry.event is not JournalEvent.STARTED for entry in read_journal(rig.journal)
+        entry.event is not JournalEvent.STARTED
+        for entry in read_journal(connection.journal)
     )
 
 
-async def test_runner_clock_is_never_ahead(rig: Rig) -> None:
-    bound_ms = rig.session.runner_clock(time.monotonic())
+async def test_runner_clock_is_never_ahead(connection: Connection) -> None:
+    bound_ms = connection.session.runner_clock(time.monotonic())
     assert 0 < bound_ms <= time.monotonic_ns() // 1_000_000
 
 
-async def test_result_of_a_lost_stream_comes_with_the_next_welcome(rig: Rig) -> None:
+async def test_result_from_a_lost_stream_arrives_after_reconnecting(
+    connection: Connection,
+) -> None:
     """The stream breaks while a task runs.
 
-    The session connects again; the welcome lists the task or its result, so
-    the caller gets its answer and nobody starts the task a second time.
+    The session reconnects, and the frame with the welcome lists the task or its
+    result. So the caller gets its answer, and the task is not started again.
     """
-    runner = rig.host.runners_by_id["t1"]
-    rig.send_start(0)
-    rig.send_start(1, start_by_ms=0)
-    # The refusal of the second start says that the first was taken.
-    await rig.seen.until(lambda seen: len(seen.refusals) == 1)
+    runner = connection.host.runners_by_id["t1"]
+    connection.send_start(0)
+    connection.send_start(1, start_by_ms=0)
+    # The refusal of the second start implies that the first was accepted.
+    await connection.received.until(lambda received: len(received.refusals) == 1)
     runner.set_fault(RunnerFault(refuse_connections=True))
-    await rig.seen.until(lambda seen: seen.losses == 1)
+    await connection.received.until(lambda received: received.losses == 1)
     runner.set_fault(RunnerFault())
-    await rig.seen.until(
-        lambda seen: any(
-            result.status == pb.TASK_STATUS_DONE for result in seen.results
+    await connection.received.until(
+        lambda received: any(
+            result.status == pb.TASK_STATUS_DONE for result in received.results
         )
     )
-    assert rig.seen.welcomes == 2
+    assert connection.received.welcomes == 2
     assert runner.starts == 1
 
 
-async def test_fence_lists_what_was_begun_and_refuses_the_rest(rig: Rig) -> None:
-    """A home dies and a successor fences it at every target.
+async def test_fence_lists_started_tasks_and_refuses_later_starts(
+    connection: Connection,
+) -> None:
+    """A home dies, and a successor fences it at every target.
 
-    The task that had begun is listed, so it is adopted; a start of the dead
-    home that arrives later is refused, so nothing runs twice.
+    The task that had started is listed, so the successor adopts it. A start of the dead
+    home that arrives later is refused, so no task runs twice.
     """
-    rig.send_start(0)
-    await rig.seen.until(lambda seen: len(seen.results) == 1)
-    address = Address(host="127.0.0.1", port=rig.runner_port)
+    connection.send_start(0)
+    await connection.received.until(lambda received: len(received.results) == 1)
+    address = Address(host="127.0.0.1", port=connection.runner_port)
     reply = (await fence(address=address, home="home-1", timeout_s=2)).unwrap()
     assert reply.exhaustive
     assert [task.ref.index for task in reply.begun] == [0]
-    rig.send_start(1)
-    await rig.seen.until(lambda seen: len(seen.refusals) == 1)
-    assert rig.seen.refusals[0].reason == pb.REFUSAL_REASON_FENCED
+    connection.send_start(1)
+    await connection.received.until(lambda received: len(received.refusals) == 1)
+    assert connection.received.refusals[0].reason == pb.REFUSAL_REASON_FENCED
