--- a/src/cassiaturn/workload/_dispatch.py
+++ b/src/cassiaturn/workload/_dispatch.py
@@ -16,7 +16,7 @@
 from cassiaturn.workload._tables import Job, Run, RunState, Tables, Target, Task
 
 MAX_STARTS_PER_TURN = 32
-"""Starts per service and turn. The rest of the queue waits for the next turn, so that
+"""Starts after which the rest of a service's queue waits for the next turn, so that
 jobs that have arrived meanwhile, and may be more urgent, are read first."""
 
 
--- a/src/cassiaturn/workload/_settings.py
+++ b/src/cassiaturn/workload/_settings.py
@@ -50,8 +50,8 @@
     """Time after which a target that has not answered a new leader counts as
     unreachable. Copies of the request for its first list have been sent for 0.11 s by
     then, and each is answered in 3 ms. A partition is detected after 0.45 s and a new
-    leader elected 0.1 s later, so callers whose jobs may still run on the other side
-    learn within 0.75 s that they have no time left to wait for the leases there."""
+    leader elected 0.1 s later, so a caller whose job may still run on the other side,
+    and who has no time to wait for the leases there, is told within 0.75 s."""
 
     handover_window_s: float = 2.5
     """How long after the start of its term a leader may infer from the lists of its
