--- a/src/cassiaturn/engine/__init__.py
+++ b/src/cassiaturn/engine/__init__.py
@@ -6,17 +6,22 @@
 
 from cassiaturn.engine._dispatch import dispatch, expected_wait_s
 from cassiaturn.engine._intake import fingerprint, pending, submit
-from cassiaturn.engine._peers import give_back_all, on_cancel, on_peer_gone, on_spilled
+from cassiaturn.engine._peers import (
+    on_cancel,
+    on_peer_gone,
+    on_spilled,
+    return_peer_tasks,
+)
 from cassiaturn.engine._ports import Ports
 from cassiaturn.engine._quotas import share_quotas
 from cassiaturn.engine._results import (
+    finish_spilled,
     on_refusal,
     on_result,
     on_spill_outcome,
     on_target_lost,
     on_welcome,
-    take_back,
-    take_ended,
+    reclaim_spilled,
 )
 from cassiaturn.engine._returns import resend
 from cassiaturn.engine._settle import cancel, supersede_all
@@ -46,7 +51,7 @@
     "dispatch",
     "expected_wait_s",
     "fingerprint",
-    "give_back_all",
+    "finish_spilled",
     "on_cancel",
     "on_peer_gone",
     "on_refusal",
@@ -56,11 +61,11 @@
     "on_target_lost",
     "on_welcome",
     "pending",
+    "reclaim_spilled",
     "resend",
+    "return_peer_tasks",
     "share_quotas",
     "submit",
     "supersede_all",
-    "take_back",
-    "take_ended",
     "tick",
 ]
--- a/src/cassiaturn/engine/_dispatch.py
+++ b/src/cassiaturn/engine/_dispatch.py
@@ -138,7 +138,7 @@
 def _note_sent(state: State, record: TaskRecord, now: float, within_s: float) -> None:
     state.in_flight_by_key[record.key] = record
     record.sent_at = now
-    record.over_by = now + within_s + state.settings.lease_s
+    record.latest_end_at = now + within_s + state.settings.lease_s
     if record.origin is not None:
         return
     job = state.jobs_by_id[record.key.submission_id]
--- a/src/cassiaturn/engine/_intake.py
+++ b/src/cassiaturn/engine/_intake.py
@@ -109,7 +109,9 @@
     state.counters.admitted += 1
     job = _make_job(submission, method, deadline_s, now)
     state.jobs_by_id[job.submission_id] = job
-    for _ in range(len(submission.adopted) + len(submission.awaited)):
+    for _ in range(
+        len(submission.adopted_by_index) + len(submission.run_after_by_index)
+    ):
         # These ran, or may have: "not run" would be false from now on.
         state.submissions.begin(job.submission_id)
     state.add_deadline(job)
@@ -163,7 +165,8 @@
     submission: Submission, method: Method, deadline_s: float, now: float
 ) -> Job:
     results: list[bytes | None] = [
-        submission.adopted.get(index) for index in range(len(submission.payloads))
+        submission.adopted_by_index.get(index)
+        for index in range(len(submission.payloads))
     ]
     return Job(
         submission_id=submission.submission_id,
@@ -182,12 +185,12 @@
     state: State, job: Job, submission: Submission, expected_s: float, now: float
 ) -> None:
     for index, payload in enumerate(submission.payloads):
-        if index in submission.adopted:
+        if index in submission.adopted_by_index:
             continue
         record = _make_record(state, job, index, payload, expected_s, now)
         job.records.append(record)
         state.records_by_key[record.key] = record
-        run_after = submission.awaited.get(index)
+        run_after = submission.run_after_by_index.get(index)
         if run_after is None:
             state.enqueue(record)
         else:
--- a/src/cassiaturn/engine/_peers.py
+++ b/src/cassiaturn/engine/_peers.py
@@ -57,7 +57,7 @@
             state.records_by_key.pop(record.key, None)
 
 
-def give_back_all(state: State, now: float) -> None:
+def return_peer_tasks(state: State, now: float) -> None:
     """Give every queued task of the peers back, since this instance ends.
 
     Kept, they would wait here for a slot that never comes, and their homes would
@@ -77,7 +77,9 @@
     silent_by = now + settings.peer_silence_s + settings.start_within_s
     for record in state.in_flight_by_key.values():
         if record.peer == incarnation:
-            record.over_by = max(record.over_by, silent_by + settings.lease_s)
+            record.latest_end_at = max(
+                record.latest_end_at, silent_by + settings.lease_s
+            )
 
 
 def _to_record(
--- a/src/cassiaturn/engine/_results.py
+++ b/src/cassiaturn/engine/_results.py
@@ -179,7 +179,7 @@
     settle_incomplete(state, job, Reason.TARGET_LOST, detail, now, maybe=(record,))
 
 
-def take_ended(
+def finish_spilled(
     state: State,
     record: TaskRecord,
     result: bytes | None,
@@ -202,7 +202,7 @@
     _take_result(state, record, message, now)
 
 
-def take_back(
+def reclaim_spilled(
     state: State, record: TaskRecord, *, never_begun: bool, now: float
 ) -> None:
     """Take a spilled task back that does not run with its lost holder.
--- a/src/cassiaturn/engine/_returns.py
+++ b/src/cassiaturn/engine/_returns.py
@@ -53,7 +53,9 @@
         if record.state is not TaskState.SPILLED or record.peer != peer:
             continue
         job = state.jobs_by_id[record.key.submission_id]
-        within_s = max(0.0, record.over_by - state.settings.lease_s - record.sent_at)
+        within_s = max(
+            0.0, record.latest_end_at - state.settings.lease_s - record.sent_at
+        )
         state.ports.spill(record, within_s=within_s, job_remaining=job.remaining)
 
 
--- a/src/cassiaturn/engine/_sweep.py
+++ b/src/cassiaturn/engine/_sweep.py
@@ -77,7 +77,7 @@
 def _reclaim_from_target(state: State, record: TaskRecord, now: float) -> None:
     # With the stream gone no renewal arrives, so the target stops the task when
     # its lease lapses; until then it may still be running and its slot taken.
-    if now < record.over_by:
+    if now < record.latest_end_at:
         return
     release(state, record)
     charge_popped(state, record.task, now - record.sent_at)
@@ -95,7 +95,7 @@
     if record.origin is not None and record.origin not in state.peers_by_incarnation:
         return
     record.renewed_at = now
-    record.over_by = now + state.settings.start_within_s + state.settings.lease_s
+    record.latest_end_at = now + state.settings.start_within_s + state.settings.lease_s
     state.ports.send_renewal(record.target_id, record.key, record.task.attempt)
 
 
@@ -104,7 +104,7 @@
     # the target when the lease lapses, and a start that it still sends is past
     # its start-by time. While the holder lives it reports, so waiting on is
     # right: a long task is renewed there.
-    if now < record.over_by or record.peer in state.peers_by_incarnation:
+    if now < record.latest_end_at or record.peer in state.peers_by_incarnation:
         return
     state.in_flight_by_key.pop(record.key, None)
     charge_popped(state, record.task, 0.0)
--- a/src/cassiaturn/engine/_tables.py
+++ b/src/cassiaturn/engine/_tables.py
@@ -88,7 +88,7 @@
     renewed_at: float = 0.0
     """When its lease was last renewed, in seconds."""
 
-    over_by: float = 0.0
+    latest_end_at: float = 0.0
     """When a run begun by the latest start is certainly over: the latest start
     time plus the lease, in seconds. Pushed back by renewals."""
 
@@ -211,7 +211,7 @@
     deadline_s: float
     """Time until the answer is of no use, in seconds; 0: the method's own."""
 
-    adopted: Mapping[int, bytes] = field(default_factory=dict)
+    adopted_by_index: Mapping[int, bytes] = field(default_factory=dict)
     """Results, by task index, that were proved to belong to an earlier home's
     run of this submission; those tasks do not run again."""
 
@@ -219,7 +219,7 @@
     """Whether an earlier home began it: its ticket names that home, and what
     was begun may not be refused for load."""
 
-    awaited: Mapping[int, float] = field(default_factory=dict)
+    run_after_by_index: Mapping[int, float] = field(default_factory=dict)
     """Tasks, by index, that may run only after a time, in seconds: an earlier
     home's run of a repeatable task is over by then."""
 
--- a/src/cassiaturn/model/_costs.py
+++ b/src/cassiaturn/model/_costs.py
@@ -18,9 +18,9 @@
 )
 from cassiaturn.model._fleet import Fleet
 from cassiaturn.recovery import (
-    Begun,
     FenceReport,
     RecoverySettings,
+    ReportedRun,
     RunStatus,
     TakeoverTable,
 )
@@ -187,11 +187,11 @@
     )
     target_ids = [f"runner-{number}" for number in range(targets)]
     table.observe_targets(target_ids)
-    table.want(_DEAD)
+    table.request_takeover(_DEAD)
     for row in table.rows_due():
-        table.row_stands(row)
+        table.row_confirmed(row)
     table.fences_due(0.0)
-    run = Begun(target_id=target_ids[0], status=RunStatus.DONE)
+    run = ReportedRun(target_id=target_ids[0], status=RunStatus.DONE)
     for target_id in target_ids:
         begun = ((TaskKey("s", 0), run),) if target_id == run.target_id else ()
         report = FenceReport(target_id=target_id, begun=begun, exhaustive=True)
--- a/src/cassiaturn/model/_fakes.py
+++ b/src/cassiaturn/model/_fakes.py
@@ -7,7 +7,7 @@
 
 from cassiaturn.entities import TaskKey
 from cassiaturn.model._state import Rules
-from cassiaturn.recovery import Begun, FenceReport, RunStatus, TakeoverRow
+from cassiaturn.recovery import FenceReport, ReportedRun, RunStatus, TakeoverRow
 from cassiaturn.submission import ClaimBatch, ClaimRow
 
 START_WITHIN_S = 2.0
@@ -184,9 +184,9 @@
             run for run in self.runs_by_key.values() if run.status is RunStatus.RUNNING
         ]
 
-    def _begun(self, run: FakeRun) -> Begun:
+    def _begun(self, run: FakeRun) -> ReportedRun:
         done = run.status is RunStatus.DONE
-        return Begun(
+        return ReportedRun(
             target_id=self.target_id,
             status=run.status,
             attempt=run.start.attempt,
--- a/src/cassiaturn/model/_process.py
+++ b/src/cassiaturn/model/_process.py
@@ -19,15 +19,15 @@
     wait_until,
 )
 from cassiaturn.recovery import (
+    AnswerCaller,
     PauseDetector,
     RecoverySettings,
     Resume,
-    RunGround,
     RunNow,
+    RunProof,
     RunStatus,
     TakeoverPhase,
     TakeoverTable,
-    TellCaller,
 )
 from cassiaturn.submission import (
     ClaimLedger,
@@ -217,7 +217,7 @@
                     del self._held_by_id[submission_id]
                     self._route(held)
                 continue
-            self.takeovers.adopt_line(held.home)
+            self.takeovers.fence_lineage(held.home)
             if now >= held.resume_at and self._decide(held, now):
                 del self._held_by_id[submission_id]
 
@@ -230,7 +230,7 @@
             repeatable=request.repeatable,
             now=now,
         )
-        if isinstance(decision, TellCaller):
+        if isinstance(decision, AnswerCaller):
             if decision.answer.outcome is Outcome.UNKNOWN:
                 return False
             if self._resumes_unbegun and decision.answer.outcome is Outcome.NOT_RUN:
@@ -282,7 +282,7 @@
         if last != self.incarnation and self._world.forward(held.request, last):
             return
         if last != self.incarnation:
-            self.takeovers.want(last)
+            self.takeovers.request_takeover(last)
         self._held_by_id[held.request.submission_id] = held
 
     def _finish(self, job: SimJob, now: float) -> None:
@@ -321,5 +321,5 @@
 
 
 def _run_all(request: Request) -> Resume:
-    run = RunNow(ground=RunGround.NEVER_BEGUN)
+    run = RunNow(proof=RunProof.NEVER_BEGUN)
     return Resume(decisions_by_index=dict.fromkeys(range(request.tasks), run))
--- a/src/cassiaturn/model/_scheduler.py
+++ b/src/cassiaturn/model/_scheduler.py
@@ -264,7 +264,7 @@
         process.alive = False
         self._boot(instance_of(process.incarnation))
         for other in self._processes_by_id.values():
-            other.takeovers.proved_dead(process.incarnation, self._now)
+            other.takeovers.incarnation_ended(process.incarnation, self._now)
 
     def _boot(self, instance_id: str) -> None:
         self._boots += 1
--- a/src/cassiaturn/model/_store_calls.py
+++ b/src/cassiaturn/model/_store_calls.py
@@ -34,7 +34,7 @@
     for row in process.takeovers.rows_due():
         stands = store.insert_takeover(row)
         if stands is None:
-            process.takeovers.row_lost(row.dead)
+            process.takeovers.insert_unanswered(row.dead)
             continue
-        process.takeovers.row_stands(stands)
+        process.takeovers.row_confirmed(stands)
         yield stands
--- a/src/cassiaturn/recovery/__init__.py
+++ b/src/cassiaturn/recovery/__init__.py
@@ -1,14 +1,13 @@
 """What becomes of the submissions of an instance that is gone."""
 
 from cassiaturn.entities import RunStatus
-from cassiaturn.recovery._begun import Begun, FenceReport
 from cassiaturn.recovery._decision import (
     Adopt,
     AwaitRunning,
     FailTask,
     RunAfter,
-    RunGround,
     RunNow,
+    RunProof,
     TaskDecision,
     Undetermined,
     decide_task,
@@ -20,22 +19,23 @@
     Takeover,
     TakeoverPhase,
 )
+from cassiaturn.recovery._reported_run import FenceReport, ReportedRun
 from cassiaturn.recovery._rows import TAKEOVER_PREFIX, TakeoverRow, takeover_key
 from cassiaturn.recovery._settings import RecoverySettings
 from cassiaturn.recovery._submission import (
+    AnswerCaller,
     Resume,
     SubmissionDecision,
-    TellCaller,
     decide_submission,
-    decide_unseen,
+    decide_without_tasks,
 )
 from cassiaturn.recovery._takeover import TakeoverTable
 
 __all__ = [
     "TAKEOVER_PREFIX",
     "Adopt",
+    "AnswerCaller",
     "AwaitRunning",
-    "Begun",
     "FailTask",
     "FenceDue",
     "FenceReport",
@@ -43,10 +43,11 @@
     "HoldState",
     "PauseDetector",
     "RecoverySettings",
+    "ReportedRun",
     "Resume",
     "RunAfter",
-    "RunGround",
     "RunNow",
+    "RunProof",
     "RunStatus",
     "SubmissionDecision",
     "Takeover",
@@ -54,10 +55,9 @@
     "TakeoverRow",
     "TakeoverTable",
     "TaskDecision",
-    "TellCaller",
     "Undetermined",
     "decide_submission",
     "decide_task",
-    "decide_unseen",
+    "decide_without_tasks",
     "takeover_key",
 ]
--- a/src/cassiaturn/recovery/_decision.py
+++ b/src/cassiaturn/recovery/_decision.py
@@ -9,10 +9,10 @@
 from enum import Enum
 
 from cassiaturn.entities import Ran, Reason, RunStatus
-from cassiaturn.recovery._begun import Begun
+from cassiaturn.recovery._reported_run import ReportedRun
 
 
-class RunGround(Enum):
+class RunProof(Enum):
     """Why a task may run now."""
 
     NEVER_BEGUN = "never_begun"
@@ -26,7 +26,7 @@
 class Adopt:
     """Take the result of the first run."""
 
-    begun: Begun
+    begun: ReportedRun
     """The run that is done."""
 
 
@@ -34,7 +34,7 @@
 class RunNow:
     """Start the task as one's own."""
 
-    ground: RunGround
+    proof: RunProof
     """What was proved."""
 
 
@@ -42,7 +42,7 @@
 class AwaitRunning:
     """The first run goes on at a target in reach: wait for its result."""
 
-    begun: Begun
+    begun: ReportedRun
     """The run."""
 
 
@@ -84,12 +84,12 @@
 def decide_task(
     *,
     repeatable: bool,
-    begun: Begun | None,
+    begun: ReportedRun | None,
     fenced_targets: Collection[str],
     unfenced_targets: Collection[str],
     gone_targets: Collection[str],
     forgetful_targets: Collection[str] = (),
-    over_by: float | None,
+    latest_end_at: float | None,
     now: float,
 ) -> TaskDecision:
     """Decide a task by what its targets prove; the first line that fits holds.
@@ -104,9 +104,9 @@
     begun, running, target in reach AwaitRunning                 AwaitRunning
     begun, running, target gone     as "not begun" below         Undetermined
     begun, lease lapsed             as "not begun" below         FailTask(SOME)
-    not begun, silent target        RunAfter(over_by), RunNow    Undetermined
-                                    once past it; Undetermined
-                                    without over_by
+    not begun, silent target        RunAfter(latest_end_at),     Undetermined
+                                    RunNow once past it;
+                                    Undetermined without it
     not begun, forgetful or gone    RunNow(EARLIER_RUN_OVER)     Undetermined
     target only
     not begun, all fenced           RunNow(NEVER_BEGUN)          the same
@@ -123,7 +123,7 @@
     :param unfenced_targets: did not answer the fence; may still start the task.
     :param gone_targets: ended, with whatever ran there; they can tell nothing.
     :param forgetful_targets: refuse its starts, but forgot runs that ended.
-    :param over_by: time by which no run of the dead home can go on anywhere, from
+    :param latest_end_at: time by which no run of the dead home can go on anywhere, from
         start-by times and leases; None unless that home is known to have ended.
     :param now: monotonic time, in seconds.
     """
@@ -135,18 +135,18 @@
     if not repeatable:
         silent = unfenced_targets or forgetful_targets or gone_targets
     if silent:
-        if not repeatable or over_by is None:
+        if not repeatable or latest_end_at is None:
             return Undetermined(silent_targets=silent)
-        if now < over_by:
-            return RunAfter(at=over_by)
-        return RunNow(ground=RunGround.EARLIER_RUN_OVER)
+        if now < latest_end_at:
+            return RunAfter(at=latest_end_at)
+        return RunNow(proof=RunProof.EARLIER_RUN_OVER)
     if begun is not None or forgetful_targets or gone_targets:
-        return RunNow(ground=RunGround.EARLIER_RUN_OVER)
-    return RunNow(ground=RunGround.NEVER_BEGUN)
+        return RunNow(proof=RunProof.EARLIER_RUN_OVER)
+    return RunNow(proof=RunProof.NEVER_BEGUN)
 
 
 def _decide_begun(
-    begun: Begun,
+    begun: ReportedRun,
     repeatable: bool,
     fenced_targets: Collection[str],
     forgetful_targets: Collection[str],
--- a/src/cassiaturn/recovery/_progress.py
+++ b/src/cassiaturn/recovery/_progress.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from cassiaturn.entities import RunStatus, TaskKey
-from cassiaturn.recovery._begun import Begun, FenceReport
+from cassiaturn.recovery._reported_run import FenceReport, ReportedRun
 from cassiaturn.recovery._rows import TakeoverRow
 
 
@@ -70,7 +70,7 @@
     phase: TakeoverPhase = TakeoverPhase.WANTED
     """How far it is."""
 
-    runs_by_key: dict[TaskKey, Begun] = field(default_factory=dict)
+    runs_by_key: dict[TaskKey, ReportedRun] = field(default_factory=dict)
     """The best run that any target told of, by task."""
 
     asked_by_target: set[str] = field(default_factory=set)
@@ -117,7 +117,7 @@
             targets.discard(target_id)
         self.targets_by_state[state].add(target_id)
 
-    def note_run(self, key: TaskKey, run: Begun) -> None:
+    def note_run(self, key: TaskKey, run: ReportedRun) -> None:
         """Keep a run unless a better one is known.
 
         A later report of the same target replaces its earlier one.
@@ -143,7 +143,9 @@
         ]
 
 
-def better_run(known: Begun | None, other: Begun | None) -> Begun | None:
+def better_run(
+    known: ReportedRun | None, other: ReportedRun | None
+) -> ReportedRun | None:
     """Return the run that says more about how a task ended."""
     if known is None or other is None:
         return known or other
--- a/src/cassiaturn/recovery/_begun.py
+++ b/src/cassiaturn/recovery/_reported_run.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Begun:
+class ReportedRun:
     """One run of a task, as its target reports it; proof that it began."""
 
     target_id: str
@@ -39,7 +39,7 @@
     target_id: str
     """Target that answered."""
 
-    begun: "tuple[tuple[TaskKey, Begun], ...]"
+    begun: "tuple[tuple[TaskKey, ReportedRun], ...]"
     """Runs of that home which the target remembers."""
 
     exhaustive: bool
@@ -64,8 +64,8 @@
         )
 
 
-def _to_begun(target_id: str, result: pb.TaskResult) -> Begun:
-    return Begun(
+def _to_begun(target_id: str, result: pb.TaskResult) -> ReportedRun:
+    return ReportedRun(
         target_id=target_id,
         status=RunStatus(result.status),
         attempt=result.ref.attempt,
--- a/src/cassiaturn/recovery/_submission.py
+++ b/src/cassiaturn/recovery/_submission.py
@@ -7,8 +7,8 @@
 from cassiaturn.recovery._decision import (
     Adopt,
     FailTask,
-    RunGround,
     RunNow,
+    RunProof,
     TaskDecision,
     Undetermined,
 )
@@ -28,14 +28,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TellCaller:
+class AnswerCaller:
     """There is an answer now; ``UNKNOWN`` may improve when more targets answer."""
 
     answer: Answer
     """The answer."""
 
 
-SubmissionDecision = Resume | TellCaller
+SubmissionDecision = Resume | AnswerCaller
 """Everything that can be decided for a submission."""
 
 
@@ -56,15 +56,15 @@
     """
     whole = _decide_whole(submission_id, decisions)
     if whole is not None:
-        return TellCaller(answer=whole)
+        return AnswerCaller(answer=whole)
     if not any_begun:
-        return TellCaller(answer=_decide_unbegun(submission_id, decisions))
+        return AnswerCaller(answer=_decide_unbegun(submission_id, decisions))
     if any(isinstance(decision, Undetermined) for decision in decisions):
-        return TellCaller(answer=_unknown(submission_id, decisions))
+        return AnswerCaller(answer=_unknown(submission_id, decisions))
     return Resume(decisions_by_index=dict(enumerate(decisions)))
 
 
-def decide_unseen(
+def decide_without_tasks(
     *, submission_id: str, never_begun: bool, any_begun: bool
 ) -> Answer | None:
     """Decide what a caller that only collects is told, without the tasks.
@@ -114,7 +114,7 @@
 
 def _decide_unbegun(submission_id: str, decisions: Sequence[TaskDecision]) -> Answer:
     denied = all(
-        isinstance(one, RunNow) and one.ground is RunGround.NEVER_BEGUN
+        isinstance(one, RunNow) and one.proof is RunProof.NEVER_BEGUN
         for one in decisions
     )
     if denied:
--- a/src/cassiaturn/recovery/_takeover.py
+++ b/src/cassiaturn/recovery/_takeover.py
@@ -12,7 +12,6 @@
 from types import MappingProxyType
 
 from cassiaturn.entities import TaskKey
-from cassiaturn.recovery._begun import Begun, FenceReport
 from cassiaturn.recovery._decision import TaskDecision, Undetermined, decide_task
 from cassiaturn.recovery._progress import (
     FenceDue,
@@ -22,6 +21,7 @@
     better_run,
     in_any,
 )
+from cassiaturn.recovery._reported_run import FenceReport, ReportedRun
 from cassiaturn.recovery._rows import TakeoverRow
 from cassiaturn.recovery._settings import RecoverySettings
 from cassiaturn.recovery._submission import SubmissionDecision, decide_submission
@@ -76,7 +76,7 @@
         for takeover in self._takeovers_by_dead.values():
             takeover.note_gone(target_id)
 
-    def want(self, dead: str) -> Takeover:
+    def request_takeover(self, dead: str) -> Takeover:
         """Ask to succeed an incarnation; harmless when it is alive after all.
 
         :param dead: an incarnation that is suspected or known to have ended.
@@ -98,7 +98,7 @@
         self._takeovers_by_dead[dead] = takeover
         return takeover
 
-    def proved_dead(self, dead: str, now: float) -> None:
+    def incarnation_ended(self, dead: str, now: float) -> None:
         """Report that the process of an incarnation has ended, not only its links.
 
         A newer incarnation of the same instance proves it. Only then do start-by
@@ -106,14 +106,14 @@
 
         :param now: monotonic time, in seconds.
         """
-        over_by = now + self._settings.over_after_s
-        self._over_by_dead.setdefault(dead, over_by)
+        latest_end_at = now + self._settings.over_after_s
+        self._over_by_dead.setdefault(dead, latest_end_at)
 
     def rows_due(self) -> Sequence[TakeoverRow]:
         """Return rows to insert, each only if its key is absent.
 
-        Each is returned once; report its end with :meth:`row_stands` or
-        :meth:`row_lost`.
+        Each is returned once; report its end with :meth:`row_confirmed` or
+        :meth:`insert_unanswered`.
         """
         due = []
         for takeover in self._takeovers_by_dead.values():
@@ -122,12 +122,12 @@
                 due.append(takeover.row)
         return due
 
-    def row_stands(self, row: TakeoverRow) -> None:
+    def row_confirmed(self, row: TakeoverRow) -> None:
         """Report the row that the store holds, ours or another's.
 
         :param row: the row inserted, the one in its place, or one read.
         """
-        takeover = self.want(row.dead)
+        takeover = self.request_takeover(row.dead)
         takeover.row = row
         # A row with our name is ours, also after a lost answer or when this table
         # forgot it: no other process has the name of this incarnation.
@@ -136,7 +136,7 @@
         else:
             takeover.phase = TakeoverPhase.YIELDED
 
-    def row_lost(self, dead: str) -> None:
+    def insert_unanswered(self, dead: str) -> None:
         """Report that the store gave no answer: the same insert is tried again."""
         takeover = self._takeovers_by_dead.get(dead)
         if takeover is not None and takeover.phase is TakeoverPhase.INSERTING:
@@ -163,7 +163,7 @@
         line = self.lineage_of(home)
         return line[-1] if len(line) > 1 else None
 
-    def adopt_line(self, home: str) -> None:
+    def fence_lineage(self, home: str) -> None:
         """Fence every earlier home of a line whose last member is this one.
 
         Needed after succeeding a successor: the row of the first home names the
@@ -259,7 +259,7 @@
             unfenced=in_any(line, FenceState.DUE),
             gone=in_any(line, FenceState.GONE),
             forgetful=in_any(line, FenceState.FORGETFUL),
-            over_by=max(known) if known and len(known) == len(overs) else None,
+            latest_end_at=max(known) if known and len(known) == len(overs) else None,
             now=now,
         )
 
@@ -275,7 +275,7 @@
             unfenced_targets=view.unfenced,
             gone_targets=view.gone,
             forgetful_targets=view.forgetful,
-            over_by=view.over_by,
+            latest_end_at=view.latest_end_at,
             now=view.now,
         )
 
@@ -316,7 +316,7 @@
     forgetful: Collection[str]
     """Targets that forgot runs."""
 
-    over_by: float | None
+    latest_end_at: float | None
     """Time by which no run of the line goes on, if known."""
 
     now: float
@@ -329,8 +329,8 @@
     return all(takeover.phase is TakeoverPhase.FENCING for takeover in line)
 
 
-def _run_of(line: Sequence[Takeover], key: TaskKey) -> Begun | None:
-    best: Begun | None = None
+def _run_of(line: Sequence[Takeover], key: TaskKey) -> ReportedRun | None:
+    best: ReportedRun | None = None
     for takeover in line:
         best = better_run(best, takeover.runs_by_key.get(key))
     return best
--- a/src/cassiaturn/recovery/tests/test_decision.py
+++ b/src/cassiaturn/recovery/tests/test_decision.py
@@ -5,20 +5,20 @@
 from cassiaturn.entities import Outcome, Ran, Reason
 from cassiaturn.recovery import (
     Adopt,
+    AnswerCaller,
     AwaitRunning,
-    Begun,
     FailTask,
+    ReportedRun,
     Resume,
     RunAfter,
-    RunGround,
     RunNow,
+    RunProof,
     RunStatus,
     TaskDecision,
-    TellCaller,
     Undetermined,
     decide_submission,
     decide_task,
-    decide_unseen,
+    decide_without_tasks,
 )
 
 NOW = 100.0
@@ -27,14 +27,14 @@
 SILENT = {"fenced": {"a"}, "unfenced": {"b"}}
 ALL = {"fenced": {"a", "b"}}
 
-NEVER = RunNow(ground=RunGround.NEVER_BEGUN)
-AGAIN = RunNow(ground=RunGround.EARLIER_RUN_OVER)
+NEVER = RunNow(proof=RunProof.NEVER_BEGUN)
+AGAIN = RunNow(proof=RunProof.EARLIER_RUN_OVER)
 LAPSED_FAILS = FailTask(ran=Ran.SOME, reason=Reason.TARGET_LOST)
 UNHEARD = Undetermined(silent_targets={"b"})
 
 
-def run(status: RunStatus, target_id: str = "a") -> Begun:
-    return Begun(target_id=target_id, status=status, result=b"r")
+def run(status: RunStatus, target_id: str = "a") -> ReportedRun:
+    return ReportedRun(target_id=target_id, status=status, result=b"r")
 
 
 DONE = run(RunStatus.DONE)
@@ -44,7 +44,7 @@
 FAILED = FailTask(ran=Ran.EVERYTHING, reason=Reason.TASK_FAILED)
 CANCELLED = FailTask(ran=Ran.SOME, reason=Reason.CANCELLED)
 
-DROPPED = Begun(target_id="a", status=RunStatus.DONE, result_dropped=True)
+DROPPED = ReportedRun(target_id="a", status=RunStatus.DONE, result_dropped=True)
 """Acknowledged by its home: an empty result is left, which is no reply."""
 
 LINES = [
@@ -67,11 +67,11 @@
 ]
 
 
-@pytest.mark.parametrize(("begun", "targets", "over_by", "can", "cannot"), LINES)
+@pytest.mark.parametrize(("begun", "targets", "latest_end_at", "can", "cannot"), LINES)
 def test_truth_table(
-    begun: Begun | None,
+    begun: ReportedRun | None,
     targets: dict[str, set[str]],
-    over_by: float | None,
+    latest_end_at: float | None,
     can: TaskDecision,
     cannot: TaskDecision | None,
 ) -> None:
@@ -83,7 +83,7 @@
             unfenced_targets=targets.get("unfenced", ()),
             gone_targets=targets.get("gone", ()),
             forgetful_targets=targets.get("forgetful", ()),
-            over_by=over_by,
+            latest_end_at=latest_end_at,
             now=NOW,
         )
 
@@ -94,7 +94,7 @@
     decision = decide_submission(
         submission_id="s", decisions=decisions, any_begun=any_begun
     )
-    assert isinstance(decision, TellCaller)
+    assert isinstance(decision, AnswerCaller)
     return decision.answer.outcome, decision.answer.ran
 
 
@@ -139,7 +139,7 @@
 def test_a_caller_that_collects_brings_no_tasks(
     never_begun: bool, any_begun: bool, outcome: Outcome | None
 ) -> None:
-    answer = decide_unseen(
+    answer = decide_without_tasks(
         submission_id="s", never_begun=never_begun, any_begun=any_begun
     )
 
--- a/src/cassiaturn/recovery/tests/test_takeover.py
+++ b/src/cassiaturn/recovery/tests/test_takeover.py
@@ -6,11 +6,12 @@
 
 from cassiaturn.entities import Outcome, Ran, TaskKey
 from cassiaturn.recovery import (
-    Begun,
+    AnswerCaller,
     FenceReport,
     HoldState,
     PauseDetector,
     RecoverySettings,
+    ReportedRun,
     Resume,
     RunAfter,
     RunNow,
@@ -18,7 +19,6 @@
     SubmissionDecision,
     TakeoverPhase,
     TakeoverTable,
-    TellCaller,
 )
 
 DEAD = "osu-1~1"
@@ -40,9 +40,9 @@
 
 
 def win(table: TakeoverTable, dead: str) -> None:
-    table.want(dead)
+    table.request_takeover(dead)
     for row in table.rows_due():
-        table.row_stands(row)
+        table.row_confirmed(row)
 
 
 def report(
@@ -55,7 +55,7 @@
 ) -> None:
     table.fences_due(now)
     runs = tuple(
-        (key, Begun(target_id=target_id, status=status, result=b"r"))
+        (key, ReportedRun(target_id=target_id, status=status, result=b"r"))
         for key, status in begun
     )
     table.fenced(
@@ -74,7 +74,7 @@
 
 
 def outcome(decision: SubmissionDecision) -> Outcome | None:
-    return decision.answer.outcome if isinstance(decision, TellCaller) else None
+    return decision.answer.outcome if isinstance(decision, AnswerCaller) else None
 
 
 KEYS = [TaskKey("s", 0), TaskKey("s", 1)]
@@ -86,13 +86,13 @@
     winner from the row in its place and forwards there.
     """
     mine, theirs = takeovers(ME), takeovers(OTHER)
-    mine.want(DEAD)
-    theirs.want(DEAD)
+    mine.request_takeover(DEAD)
+    theirs.request_takeover(DEAD)
     (row,) = theirs.rows_due()
-    theirs.row_stands(row)
+    theirs.row_confirmed(row)
     assert len(mine.rows_due()) == 1
     assert mine.rows_due() == []
-    mine.row_stands(row)
+    mine.row_confirmed(row)
 
     assert mine.successor_of(DEAD) == OTHER
     assert mine.takeovers_by_dead[DEAD].phase is TakeoverPhase.YIELDED
@@ -103,12 +103,12 @@
 
 def test_a_lost_answer_is_settled_by_the_token() -> None:
     table = takeovers()
-    table.want(DEAD)
+    table.request_takeover(DEAD)
     (row,) = table.rows_due()
-    table.row_lost(DEAD)
+    table.insert_unanswered(DEAD)
 
     assert table.rows_due() == [row]
-    table.row_stands(row)
+    table.row_confirmed(row)
     assert table.takeovers_by_dead[DEAD].phase is TakeoverPhase.FENCING
 
 
@@ -127,9 +127,9 @@
     table.fences_due(SETTINGS.keep_s + 1.0)
     assert table.takeovers_by_dead == {}
 
-    table.want(DEAD)
+    table.request_takeover(DEAD)
     table.rows_due()
-    table.row_stands(row)
+    table.row_confirmed(row)
 
     assert outcome(decide(table, now=2000.0)) is Outcome.UNKNOWN
     assert len(table.fences_due(2000.0)) == 2
@@ -137,7 +137,7 @@
 
 def test_nothing_is_decided_before_the_row_or_without_targets() -> None:
     no_row, no_targets = takeovers(), takeovers(targets=())
-    no_row.want(DEAD)
+    no_row.request_takeover(DEAD)
     win(no_targets, DEAD)
 
     assert outcome(decide(no_row)) is Outcome.UNKNOWN
@@ -201,7 +201,7 @@
     table.fence_failed(DEAD, "b", 0.0)
     assert table.fences_due(0.1) == []
     assert outcome(decide(table)) is Outcome.UNKNOWN
-    table.proved_dead(DEAD, 0.0)
+    table.incarnation_ended(DEAD, 0.0)
     assert outcome(decide(table)) is Outcome.UNKNOWN
     repeated = decide(table, repeatable=True)
     assert isinstance(repeated, Resume)
@@ -256,13 +256,13 @@
     asks every target about both, so that it repeats nothing of either.
     """
     first, second = takeovers(OTHER), takeovers(ME)
-    first.want(DEAD)
+    first.request_takeover(DEAD)
     (row,) = first.rows_due()
-    second.want(DEAD)
+    second.request_takeover(DEAD)
     second.rows_due()
-    second.row_stands(row)
+    second.row_confirmed(row)
     win(second, OTHER)
-    second.adopt_line(DEAD)
+    second.fence_lineage(DEAD)
     assert second.lineage_of(DEAD) == [DEAD, OTHER, ME]
     for dead in (DEAD, OTHER):
         report(second, "b", dead=dead)
@@ -282,7 +282,7 @@
 
     decision = decide(table)
 
-    assert isinstance(decision, TellCaller)
+    assert isinstance(decision, AnswerCaller)
     assert decision.answer.outcome is Outcome.FAILED
     assert decision.answer.ran is Ran.SOME
 
--- a/src/cassiaturn/server/_instance.py
+++ b/src/cassiaturn/server/_instance.py
@@ -11,7 +11,7 @@
 from cassiaturn.engine import (
     Job,
     Tenant,
-    give_back_all,
+    return_peer_tasks,
     share_quotas,
     supersede_all,
     tick,
@@ -107,7 +107,7 @@
         reason = REASONS_NOT_READY[MemberState.LEAVING]
         log_event(Event.INSTANCE_NOT_READY, reason=reason)
         self.state.draining = True
-        give_back_all(self.state, time.monotonic())
+        return_peer_tasks(self.state, time.monotonic())
         self.member_state = MemberState.LEAVING
         self._holders_due_at = 0.0
         self.peers.announce()
--- a/src/cassiaturn/server/_reclaim.py
+++ b/src/cassiaturn/server/_reclaim.py
@@ -20,17 +20,17 @@
     TaskRecord,
     TaskState,
     dispatch,
-    take_back,
-    take_ended,
+    finish_spilled,
+    reclaim_spilled,
 )
 from cassiaturn.entities import Address, TaskKey
 from cassiaturn.recovery import (
     Adopt,
-    Begun,
     FailTask,
     FenceReport,
-    RunGround,
+    ReportedRun,
     RunNow,
+    RunProof,
     decide_task,
 )
 from cassiaturn.targets import fence
@@ -52,7 +52,7 @@
 class _Told:
     """What the targets of a vanished holder told."""
 
-    begun_by_key: Mapping[TaskKey, Begun]
+    begun_by_key: Mapping[TaskKey, ReportedRun]
     """Tasks that some target began."""
 
     told: Collection[str]
@@ -131,17 +131,19 @@
             fenced_targets=told.told,
             unfenced_targets=told.silent,
             gone_targets=(),
-            over_by=record.over_by,
+            latest_end_at=record.latest_end_at,
             now=now,
         )
         match decision:
             case Adopt(begun=begun):
-                take_ended(self._state, record, begun.result, begun.run_ms / 1000, now)
-            case RunNow(ground=ground):
-                never_begun = ground is RunGround.NEVER_BEGUN
-                take_back(self._state, record, never_begun=never_begun, now=now)
+                finish_spilled(
+                    self._state, record, begun.result, begun.run_ms / 1000, now
+                )
+            case RunNow(proof=proof):
+                never_begun = proof is RunProof.NEVER_BEGUN
+                reclaim_spilled(self._state, record, never_begun=never_begun, now=now)
             case FailTask(detail=detail):
-                take_ended(self._state, record, None, 0.0, now, detail=detail)
+                finish_spilled(self._state, record, None, 0.0, now, detail=detail)
             case _:
                 # Still running, or a target is silent: ask again, until the
                 # sweep gives the task up at the end of its longest run.
@@ -167,7 +169,7 @@
                 for address in addresses_by_target.values()
             )
         )
-        begun_by_key: dict[TaskKey, Begun] = {}
+        begun_by_key: dict[TaskKey, ReportedRun] = {}
         told: set[str] = set()
         silent: set[str] = set()
         for target_id, reply in zip(addresses_by_target, replies, strict=True):
--- a/src/cassiaturn/server/_successor.py
+++ b/src/cassiaturn/server/_successor.py
@@ -13,6 +13,7 @@
 from cassiaturn.observability import Event, log_event
 from cassiaturn.recovery import (
     Adopt,
+    AnswerCaller,
     AwaitRunning,
     FenceDue,
     FenceReport,
@@ -22,7 +23,6 @@
     TakeoverPhase,
     TakeoverRow,
     TakeoverTable,
-    TellCaller,
     takeover_key,
 )
 from cassiaturn.server._peers import PeerBook
@@ -105,9 +105,9 @@
             self._peers.note_unknown(last)
             if not self._peers.is_gone(last):
                 return last
-            takeover = self._table.want(last)
+            takeover = self._table.request_takeover(last)
             if takeover.phase is TakeoverPhase.FENCING:
-                self._table.adopt_line(home)
+                self._table.fence_lineage(home)
                 return self._me
             if time.monotonic() >= give_up:
                 return None
@@ -121,7 +121,7 @@
 
         :returns: the answer, or the submission with what is to be adopted.
         """
-        self._table.adopt_line(home)
+        self._table.fence_lineage(home)
         give_up = time.monotonic() + UNKNOWN_WAIT_S
         deadline = time.monotonic() + (submission.deadline_s or UNKNOWN_WAIT_S)
         while True:
@@ -135,7 +135,7 @@
             )
             if self._is_too_old(home, submission.submission_id):
                 decision = without_denials(decision, submission.submission_id)
-            if isinstance(decision, TellCaller):
+            if isinstance(decision, AnswerCaller):
                 if decision.answer.outcome is not Outcome.UNKNOWN or now >= give_up:
                     return decision.answer
             else:
@@ -172,7 +172,7 @@
 
     def proved_dead(self, dead: str, now: float) -> None:
         """Note that the process of an incarnation has certainly ended."""
-        self._table.proved_dead(dead, now)
+        self._table.incarnation_ended(dead, now)
 
     async def _step(self) -> None:
         self._table.observe_targets(tuple(self._addresses_by_target()))
@@ -200,25 +200,25 @@
         match result:
             case Success(_):
                 self._budget.succeeded(now)
-                self._table.row_stands(row)
+                self._table.row_confirmed(row)
                 log_event(Event.TAKEOVER_STARTED, incarnation=row.dead)
             case Failure(Conflict(rows_by_key=rows_by_key)):
                 self._budget.succeeded(now)
                 self._found(row, rows_by_key.get(row.key))
             case Failure(_):
                 self._budget.failed(now)
-                self._table.row_lost(row.dead)
+                self._table.insert_unanswered(row.dead)
 
     def _found(self, wanted: TakeoverRow, row: Row | None) -> None:
         if row is None:
-            self._table.row_lost(wanted.dead)
+            self._table.insert_unanswered(wanted.dead)
             return
         try:
             found = _ROWS.validate_json(row.value)
         except ValidationError:
-            self._table.row_lost(wanted.dead)
+            self._table.insert_unanswered(wanted.dead)
             return
-        self._table.row_stands(found)
+        self._table.row_confirmed(found)
 
     async def _fence(self, due: FenceDue) -> None:
         address = self._addresses_by_target()[due.target_id]
@@ -279,12 +279,12 @@
     Results and failures that targets tell stay; "not run" and starting the rest
     become "unknown".
     """
-    if isinstance(decision, TellCaller):
+    if isinstance(decision, AnswerCaller):
         if decision.answer.outcome is not Outcome.NOT_RUN:
             return decision
     elif not any(isinstance(d, RunNow) for d in decision.decisions_by_index.values()):
         return decision
-    return TellCaller(
+    return AnswerCaller(
         answer=Answer.unknown(
             submission_id,
             Reason.EXPIRED,
@@ -316,8 +316,8 @@
             raise AssertionError(f"task {index} is resumed although {decision}")
     return replace(
         submission,
-        adopted=adopted,
-        awaited=awaited,
+        adopted_by_index=adopted,
+        run_after_by_index=awaited,
         resumed=True,
         deadline_s=left_s,
     )
