--- a/src/cassiaturn/engine/__init__.py
+++ b/src/cassiaturn/engine/__init__.py
@@ -1,7 +1,7 @@
-"""The tables of an instance and the systems that run over them.
+"""Scheduling state of an instance and the functions that act on it.
 
-Nothing here waits, reads a clock or opens a connection: the server, or a test,
-passes events in and implements :class:`Ports`.
+The engine performs no I/O, never blocks and reads no clock: the server, or a test,
+passes in events with their times and implements :class:`Ports`.
 """
 
 from cassiaturn.engine._dispatch import dispatch, expected_wait_s
--- a/src/cassiaturn/engine/_dispatch.py
+++ b/src/cassiaturn/engine/_dispatch.py
@@ -1,7 +1,8 @@
-"""Sends queued tasks: to free slots here first, then to peers.
+"""Dispatches queued tasks: first to free slots of this instance, then to peers.
 
-A task is bound to a slot only when it is sent, so nothing queues behind a long
-task at a target, and no probe is needed: the holder counts its slots exactly.
+A task is bound to a slot only when it is sent, so no task queues behind a long one
+at a target. No probes are needed, since the holder of a target counts its slots
+exactly.
 """
 
 from collections.abc import Iterable
@@ -18,26 +19,26 @@
 )
 from cassiaturn.v1 import runner_pb2
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 def dispatch(state: State, now: float) -> None:
-    """Send whatever can be sent now."""
+    """Send every task that can be sent now."""
     if state.starts_held:
         return
     while len(state.queue):
-        _start_own(state, now)
-        if not len(state.queue) or not _spill(state, now):
+        _start_local(state, now)
+        if not len(state.queue) or not _spill_queued(state, now):
             return
 
 
-def _start_own(state: State, now: float) -> None:
+def _start_local(state: State, now: float) -> None:
     free = state.free_slots()
     if free == 0:
         return
 
     def fits(task: QueuedTask) -> bool:
-        return _choose(state, task, now) is not None
+        return _choose_target(state, task, now) is not None
 
     while free > 0:
         task = state.queue.pop(now=now, fits=fits)
@@ -45,31 +46,33 @@
             return
         record = state.records_by_key.get(task.key)
         if record is None or record.state is not TaskState.QUEUED:
-            charge_popped(state, task, 0.0)
+            charge_slot_time(state, task, 0.0)
             continue
         if record.task.start_by <= now:
-            # After a pause an event may come before the tick that expires the
-            # queue; a start sent now could begin after its home gave it up.
-            charge_popped(state, task, 0.0)
+            # After a pause an event may be handled before the tick that expires
+            # the queue; the start could begin after its home has given it up.
+            charge_slot_time(state, task, 0.0)
             expire_record(state, record, now)
             continue
-        target = _choose(state, task, now)
+        target = _choose_target(state, task, now)
         if target is None:
-            raise AssertionError(f"{task.key}: it fitted a target and no more")
-        start_here(state, record, target, now)
+            raise AssertionError(
+                f"{task.key}: no target fits it, although one did a moment ago"
+            )
+        start_locally(state, record, target, now)
         free -= 1
 
 
-def _choose(state: State, task: QueuedTask, now: float) -> TargetRow | None:
+def _choose_target(state: State, task: QueuedTask, now: float) -> TargetRow | None:
     return choose_target(
         task,
-        open_targets(state, now),
+        unpaused_targets(state, now),
         spare_share_by_class=state.policy.placement.spare_share_by_class,
     )
 
 
-def open_targets(state: State, now: float) -> Iterable[TargetRow]:
-    """Return the targets that are not paused after a refusal."""
+def unpaused_targets(state: State, now: float) -> Iterable[TargetRow]:
+    """Return the targets that are not paused after refusals or failures."""
     blocked = state.blocked_until_by_target
     rows = state.targets_by_id.values()
     if not blocked:
@@ -77,14 +80,16 @@
     return [row for row in rows if blocked.get(row.target_id, 0.0) <= now]
 
 
-def start_here(state: State, record: TaskRecord, target: TargetRow, now: float) -> None:
-    """Send one start to a target that has a slot for it."""
+def start_locally(
+    state: State, record: TaskRecord, target: TargetRow, now: float
+) -> None:
+    """Send a start to a target that has a free slot for it."""
     target.take(record.task.resources)
     target.connections_in_use += 1
     record.state = TaskState.RUNNING
     record.target_id = target.target_id
     within_s = min(state.settings.start_within_s, record.task.start_by - now)
-    _note_sent(state, record, now, within_s)
+    _record_sent(state, record, now, within_s)
     record.renewed_at = now
     state.counters.starts += 1
     state.running_by_tenant[record.task.tenant] += 1
@@ -93,14 +98,14 @@
     state.ports.send_start(
         record,
         within_s=within_s,
-        lease_ms=round(state.settings.lease_s * MILLISECONDS),
+        lease_ms=round(state.settings.lease_s * MS_PER_S),
     )
 
 
 def expire_record(state: State, record: TaskRecord, now: float) -> None:
-    """Give a queued task up that found no slot here in time.
+    """Give up a queued task that found no slot here in time.
 
-    A task of our own stays with its job, whose deadline settles it.
+    A task whose home is this instance is settled with its job, by the deadline.
     """
     if record.origin is None:
         record.state = TaskState.CANCELLED
@@ -108,13 +113,14 @@
     return_refusal(state, record, runner_pb2.REFUSAL_REASON_LATE, now)
 
 
-def charge_popped(state: State, task: QueuedTask, held_s: float) -> None:
-    """Tell the queue how long a task that it gave out held a slot.
+def charge_slot_time(state: State, task: QueuedTask, held_s: float) -> None:
+    """Charge a popped task for the time in which it held a slot.
 
-    A task is charged its expected run when it is popped. One that never ran, or
-    was lost, must be corrected, or its tenant stays charged for good.
+    The queue charges the expected run time when a task is popped. Without this
+    correction the tenant of a task that never ran, or was lost, stays charged for
+    it.
 
-    :param held_s: seconds; 0: it never began.
+    :param held_s: time in seconds; 0 if the task never began.
     """
     state.queue.charge(
         tenant=task.tenant,
@@ -125,7 +131,7 @@
 
 
 def release(state: State, record: TaskRecord) -> None:
-    """Give back the slot of a task that its target no longer runs."""
+    """Release the slot of a task that its target no longer runs."""
     state.in_flight_by_key.pop(record.key, None)
     state.running_by_tenant[record.task.tenant] -= 1
     state.running_by_class[record.task.request_class] -= 1
@@ -135,7 +141,7 @@
         target.connections_in_use -= 1
 
 
-def _note_sent(state: State, record: TaskRecord, now: float, within_s: float) -> None:
+def _record_sent(state: State, record: TaskRecord, now: float, within_s: float) -> None:
     state.in_flight_by_key[record.key] = record
     record.sent_at = now
     record.latest_end_at = now + within_s + state.settings.lease_s
@@ -146,11 +152,11 @@
         raise AssertionError(f"{record.key}: a start after the final answer")
 
 
-def _spill(state: State, now: float) -> bool:
-    """Give queued tasks to peers that are believed to have free slots.
+def _spill_queued(state: State, now: float) -> bool:
+    """Spill queued tasks to peers that are expected to have free slots.
 
-    :returns: whether the next task may now use slots here that are kept for
-        higher classes, since no peer is open to it.
+    :returns: whether the next task may now use local slots that are reserved for
+        higher classes, because no peer can take it.
     """
     peers = [row for row in state.peers_by_incarnation.values() if row.ready]
     while True:
@@ -159,10 +165,10 @@
         if task is None:
             return False
         may_use_spare = task.may_use_spare
-        # A task that was spilled once is not passed on: two hosts with stale
-        # reports would hand it back and forth until its deadline.
+        # A spilled task is not spilled again: two instances with stale reports
+        # would pass it back and forth until its deadline.
         peer = None
-        if _is_own(state, task):
+        if _is_home_task(state, task):
             peer = state.placement.choose_peer(task, own_wait_s, peers, now)
             if peer is None and state.usable_slots() == 0:
                 peer = choose_handover_peer(peers)
@@ -175,17 +181,17 @@
             return False
         record = state.records_by_key.get(popped.key)
         is_queued = record is not None and record.state is TaskState.QUEUED
-        if record is None or not is_queued or not _give(state, record, peer, now):
-            charge_popped(state, popped, 0.0)
+        if record is None or not is_queued or not _spill_task(state, record, peer, now):
+            charge_slot_time(state, popped, 0.0)
 
 
-def _give(state: State, record: TaskRecord, peer: PeerRow, now: float) -> bool:
+def _spill_task(state: State, record: TaskRecord, peer: PeerRow, now: float) -> bool:
     within_s = min(state.settings.spill_within_s, record.task.start_by - now)
     if within_s <= 0:
         return False
     record.state = TaskState.SPILLED
     record.peer = peer.incarnation
-    _note_sent(state, record, now, within_s)
+    _record_sent(state, record, now, within_s)
     peer.count_send()
     state.counters.spills += 1
     job = state.jobs_by_id[record.key.submission_id]
@@ -193,13 +199,13 @@
     return True
 
 
-def _is_own(state: State, task: QueuedTask) -> bool:
+def _is_home_task(state: State, task: QueuedTask) -> bool:
     record = state.records_by_key.get(task.key)
     return record is None or record.origin is None
 
 
 def expected_wait_s(state: State) -> float:
-    """Return how long a task queued now waits for a slot here, in seconds."""
+    """Return how long a task queued now is expected to wait here, in seconds."""
     slots = state.usable_slots()
     if slots == 0:
         return float("inf")
--- a/src/cassiaturn/engine/_intake.py
+++ b/src/cassiaturn/engine/_intake.py
@@ -1,4 +1,4 @@
-"""Submissions at their home: form, tenant, admission, then the queue."""
+"""Accepts submissions at their home: validation, admission control, queueing."""
 
 from cassiaturn.engine._settle import settle_not_run
 from cassiaturn.engine._state import State
@@ -15,14 +15,16 @@
 )
 
 STARTING_RETRY_MS = 200
-"""Advice while the shared configuration is read: a few reads of the table."""
+"""Retry advice until the shared configuration is read: time for a few reads of
+the table."""
 
 
 def submit(state: State, submission: Submission, now: float) -> Answer:
-    """Take a submission at its home.
+    """Accept or refuse a submission at its home.
 
-    :param submission: what the caller sent; its id is ours to decide on.
-    :param now: time in seconds.
+    :param submission: what the caller sent; this instance must be the home of its
+        id.
+    :param now: monotonic time, in seconds.
     :returns: the answer if it is known, else one with ``PENDING``.
     """
     if not state.tenants_by_name:
@@ -53,17 +55,17 @@
 
 
 def fingerprint(submission: Submission) -> bytes:
-    """Return a digest of what a submission asks for, and for which tenant.
+    """Return a digest of the tenant, the method and the payloads of a submission.
 
-    With the tenant in it, no tenant is told the answer of another one's request
-    under the same id.
+    It covers the tenant so that no tenant gets the answer to another tenant's
+    request with the same id.
     """
     asked = f"{submission.tenant}/{submission.method}"
     return fingerprint_of(method=asked, tasks=submission.payloads)
 
 
 def pending(state: State, submission_id: str, tasks_total: int) -> Answer:
-    """Return how far a submission is that has no answer yet."""
+    """Return the progress of a submission that has no answer yet."""
     job = state.jobs_by_id.get(submission_id)
     done = len(job.results) - job.remaining if job else 0
     return Answer(
@@ -112,7 +114,7 @@
     for _ in range(
         len(submission.adopted_by_index) + len(submission.run_after_by_index)
     ):
-        # These ran, or may have: "not run" would be false from now on.
+        # These tasks ran or may have run, so NOT_RUN would be false from now on.
         state.submissions.begin(job.submission_id)
     state.add_deadline(job)
     _make_records(state, job, submission, expected_s, now)
@@ -120,7 +122,7 @@
 
 
 def load_view(state: State, submission: Submission, now: float) -> LoadView:
-    """Return the load that admission weighs a submission against."""
+    """Return the load that admission control takes into account."""
     tenant = submission.tenant
     return LoadView(
         now=now,
@@ -226,8 +228,8 @@
 
 
 def _starting(submission_id: str) -> Answer:
-    # Refusing the tenant before the configuration is known would be final for
-    # the id, and wrong.
+    # A refusal would be final for the id, and wrong while the tenants of the
+    # shared configuration are not known yet.
     return Answer.unknown(
         submission_id,
         Reason.HOME_UNREACHABLE,
@@ -245,8 +247,8 @@
 
 
 def _mismatch(submission_id: str) -> Answer:
-    # The id belongs to another request. Its own answer must not leak, and "not
-    # run" would be false of the id, so this is an answer to the call alone.
+    # The id belongs to another request. That request's answer must not leak, and
+    # NOT_RUN may be false for the id, so only this call gets the answer.
     return Answer.unknown(
         submission_id,
         Reason.MISMATCH,
--- a/src/cassiaturn/engine/_peers.py
+++ b/src/cassiaturn/engine/_peers.py
@@ -1,4 +1,4 @@
-"""Tasks that peers give to this instance, as the holder of its targets."""
+"""Handles tasks that peers spill to this instance, which holds the targets."""
 
 from cassiaturn.engine._returns import return_refusal, was_returned
 from cassiaturn.engine._state import State
@@ -11,12 +11,12 @@
 def on_spilled(
     state: State, peer: str, spilled: peer_pb2.SpilledTask, now: float
 ) -> None:
-    """Queue a peer's task here; it competes as if it had arrived here."""
+    """Queue a peer's task, with the same priority as a task submitted here."""
     start = spilled.start
     key = TaskKey(start.ref.submission_id, start.ref.index)
     if key in state.records_by_key or was_returned(state, peer, key, start.ref.attempt):
-        # Sent again after a link loss. Starting it twice would run it twice, so
-        # the first record stands, and its outcome answers for both.
+        # The peer resends tasks after a link loss. A second start would run the
+        # task twice, so the duplicate is ignored.
         return
     record = _to_record(peer, spilled, key, now)
     if state.draining or state.superseded or record.task.start_by <= now:
@@ -28,7 +28,7 @@
 
 
 def on_cancel(state: State, key: TaskKey, attempt: int) -> None:
-    """Drop or stop a task that its home has given up on."""
+    """Drop or stop a task that its home cancelled."""
     record = state.records_by_key.get(key)
     if record is None or record.origin is None or record.task.attempt != attempt:
         return
@@ -41,15 +41,15 @@
 
 
 def on_peer_gone(state: State, incarnation: str, now: float) -> None:
-    """Forget a peer that is gone; its queued tasks here are not started.
+    """Remove a peer that is gone, and its tasks that are still queued here.
 
-    Tasks that we gave it are taken back by the sweep once a run begun there is
-    certainly over.
+    Tasks spilled to the peer are reclaimed by the sweep once any run begun there
+    must have ended.
     """
     state.peers_by_incarnation.pop(incarnation, None)
     state.returned_by_peer.pop(incarnation, None)
     state.tenant_loads_by_peer.pop(incarnation, None)
-    _await_end(state, incarnation, now)
+    _extend_latest_end(state, incarnation, now)
     for record in list(state.records_by_key.values()):
         queued = record.state is TaskState.QUEUED
         if record.origin == incarnation and queued:
@@ -58,21 +58,21 @@
 
 
 def return_peer_tasks(state: State, now: float) -> None:
-    """Give every queued task of the peers back, since this instance ends.
+    """Return the queued tasks of all peers because this instance stops.
 
-    Kept, they would wait here for a slot that never comes, and their homes would
-    have to wait until no run of them can be under way.
+    They would get no slot here any more, and their homes would have to wait until
+    no run of them can be in progress.
     """
     for record in list(state.records_by_key.values()):
         if record.origin is not None and record.state is TaskState.QUEUED:
             return_refusal(state, record, runner_pb2.REFUSAL_REASON_LEAVING, now)
 
 
-def _await_end(state: State, incarnation: str, now: float) -> None:
-    # The peer may live on behind a partition and renew the leases of our tasks
-    # until it misses our frames, so a rerun now could overlap the first run.
-    # It heard us last no later than now, renews no longer than peer_silence_s
-    # after that, and the target stops the task one lease later.
+def _extend_latest_end(state: State, incarnation: str, now: float) -> None:
+    # The peer may be alive behind a partition and renew the leases of this
+    # instance's tasks, so a rerun now could overlap the first run. It last heard
+    # from this instance no later than now and renews for at most peer_silence_s
+    # after that; the target stops the task one lease later.
     settings = state.settings
     silent_by = now + settings.peer_silence_s + settings.start_within_s
     for record in state.in_flight_by_key.values():
--- a/src/cassiaturn/engine/_ports.py
+++ b/src/cassiaturn/engine/_ports.py
@@ -1,4 +1,4 @@
-"""What the engine asks of the process around it."""
+"""Interface through which the engine sends frames and delivers answers."""
 
 from typing import Protocol
 
@@ -8,15 +8,16 @@
 
 
 class Ports(Protocol):
-    """Sends frames and delivers answers; the process or a test implements it.
+    """Sends frames and delivers answers; implemented by the server or a test.
 
-    No method waits: frames gather in outboxes and leave when the loop runs.
+    No method blocks: frames are put into outboxes and sent when the event loop runs.
     """
 
     def send_start(self, record: TaskRecord, *, within_s: float, lease_ms: int) -> None:
         """Send a start to ``record.target_id``.
 
-        :param within_s: time until the target must refuse it, in seconds.
+        :param within_s: time after which the target must refuse the start, in seconds.
+        :param lease_ms: lease of the run, in milliseconds.
         """
 
     def send_cancel(self, target_id: str, key: TaskKey, attempt: int) -> None:
@@ -26,10 +27,14 @@
         """Extend the lease of a running task."""
 
     def acknowledge(self, target_id: str, key: TaskKey, attempt: int) -> None:
-        """Let a target forget a result."""
+        """Allow a target to drop a result."""
 
     def spill(self, record: TaskRecord, *, within_s: float, job_remaining: int) -> None:
-        """Give a task to ``record.peer``."""
+        """Send a task to ``record.peer``.
+
+        :param within_s: time after which the peer must refuse it, in seconds.
+        :param job_remaining: number of tasks of its job without a result.
+        """
 
     def cancel_spill(self, peer: str, key: TaskKey, attempt: int) -> None:
         """Ask a peer to drop a task, or to stop it."""
@@ -38,7 +43,10 @@
         """Send the outcome of a spilled task to its home."""
 
     def deliver(self, answer: Answer, job: Job | None) -> None:
-        """Hand a settled answer to everyone who waits for it."""
+        """Deliver a settled answer to every waiting call.
+
+        :param job: the settled job; None if the submission was refused.
+        """
 
     def superseded(self) -> None:
-        """Say that targets fence this incarnation: a successor took over."""
+        """Report that a target fenced this incarnation: a successor took over."""
--- a/src/cassiaturn/engine/_quotas.py
+++ b/src/cassiaturn/engine/_quotas.py
@@ -1,11 +1,11 @@
-"""Splits each tenant's quota over the instances that have its work."""
+"""Divides each tenant's quota among the instances that have work of it."""
 
 from cassiaturn.engine._state import State
 from cassiaturn.policy import next_quota_part
 
 
 def share_quotas(state: State) -> None:
-    """Take one step towards the split that the reported demand asks for."""
+    """Move this instance's part of each quota one step towards the reported demand."""
     me = state.settings.instance_id
     queued_by_tenant = state.queue.queued_by_tenant()
     shares: dict[str, float] = {}
--- a/src/cassiaturn/engine/_returns.py
+++ b/src/cassiaturn/engine/_returns.py
@@ -1,14 +1,14 @@
-"""Outcomes of spilled tasks, on their way back to the tasks' homes.
+"""Returns outcomes of spilled tasks to their homes, with retransmission.
 
-A frame that was under way when a link broke is lost without a trace. So each
-outcome is kept for a while and sent again when the link is back, and the home
-sends its spilled tasks again; both sides drop what they already have.
+Frames in transit when a link breaks are lost without notice. Each outcome is
+therefore kept for a while and sent again when the link is restored, and the home
+resends its spilled tasks; both sides ignore duplicates.
 """
 
 from collections import OrderedDict
 
 from cassiaturn.engine._state import State
-from cassiaturn.engine._tables import Returned, TaskRecord, TaskState
+from cassiaturn.engine._tables import ReturnedOutcome, TaskRecord, TaskState
 from cassiaturn.entities import TaskKey
 from cassiaturn.v1 import peer_pb2, runner_pb2
 
@@ -19,34 +19,34 @@
     """Return the result of a spilled task to its home."""
     outcome = _outcome(record)
     outcome.result.CopyFrom(result)
-    _return(state, record, outcome, now)
+    _return_outcome(state, record, outcome, now)
     state.acknowledge_later(record, now)
 
 
 def return_refusal(state: State, record: TaskRecord, reason: int, now: float) -> None:
-    """Give a spilled task back that was not started and will not be."""
+    """Return a spilled task that was not started and will not be."""
     outcome = _outcome(record)
     outcome.refusal.ref.CopyFrom(outcome.ref)
     outcome.refusal.reason = reason  # type: ignore[assignment]
-    _return(state, record, outcome, now)
+    _return_outcome(state, record, outcome, now)
 
 
 def return_lost(state: State, record: TaskRecord, now: float) -> None:
-    """Tell a home that the target went away with its task."""
+    """Report to the home that the target of its task was lost."""
     outcome = _outcome(record)
     outcome.target_lost = True
-    _return(state, record, outcome, now)
+    _return_outcome(state, record, outcome, now)
 
 
 def was_returned(state: State, peer: str, key: TaskKey, attempt: int) -> bool:
-    """Whether an outcome of this attempt was already sent to its home."""
+    """Return whether an outcome of this or a later attempt was already sent."""
     returned_by_key = state.returned_by_peer.get(peer)
     returned = returned_by_key.get(key) if returned_by_key else None
     return returned is not None and returned.outcome.ref.attempt >= attempt
 
 
 def resend(state: State, peer: str) -> None:
-    """Send again, on a new link, what the old one may have lost."""
+    """Resend, on a new link to a peer, what may have been lost on the old one."""
     for returned in state.returned_by_peer.get(peer, {}).values():
         state.ports.return_outcome(peer, returned.outcome)
     for record in state.in_flight_by_key.values():
@@ -59,8 +59,8 @@
         state.ports.spill(record, within_s=within_s, job_remaining=job.remaining)
 
 
-def trim_returned(state: State, now: float) -> None:
-    """Forget outcomes that are older than any link loss that is survived."""
+def expire_returned(state: State, now: float) -> None:
+    """Drop outcomes older than the longest link loss that a peer survives."""
     oldest = now - 2 * state.settings.peer_gone_s
     for returned_by_key in state.returned_by_peer.values():
         while returned_by_key:
@@ -79,7 +79,7 @@
     return peer_pb2.SpillOutcome(ref=ref, target_id=record.target_id)
 
 
-def _return(
+def _return_outcome(
     state: State, record: TaskRecord, outcome: peer_pb2.SpillOutcome, now: float
 ) -> None:
     peer = record.origin
@@ -92,5 +92,5 @@
         return
     returned_by_key = state.returned_by_peer.setdefault(peer, OrderedDict())
     returned_by_key.pop(record.key, None)
-    returned_by_key[record.key] = Returned(outcome=outcome, at=now)
+    returned_by_key[record.key] = ReturnedOutcome(outcome=outcome, at=now)
     state.ports.return_outcome(peer, outcome)
--- a/src/cassiaturn/engine/_settle.py
+++ b/src/cassiaturn/engine/_settle.py
@@ -1,4 +1,4 @@
-"""How a job ends: one final answer, and nothing of it left behind."""
+"""Settles jobs: records one final answer and removes all state of the job."""
 
 from collections.abc import Sequence
 
@@ -16,7 +16,7 @@
     *,
     retry_after_ms: int = 0,
 ) -> Answer:
-    """Settle a submission of which nothing was sent; final for its id."""
+    """Settle a submission of which no task was sent; the answer is final."""
     answer = Answer(
         submission_id=submission.submission_id,
         outcome=Outcome.NOT_RUN,
@@ -32,7 +32,7 @@
 
 
 def settle_complete(state: State, job: Job, now: float) -> None:
-    """Settle a job whose every task has its result."""
+    """Settle a job of which every task has a result."""
     results = [result for result in job.results if result is not None]
     answer = Answer(
         submission_id=job.submission_id,
@@ -42,7 +42,7 @@
         tasks_done=len(job.results),
         tasks_total=len(job.results),
     )
-    _finish(state, job, answer, now)
+    _settle_job(state, job, answer, now)
 
 
 def settle_incomplete(
@@ -52,30 +52,32 @@
     detail: str,
     now: float,
     *,
-    maybe: Sequence[TaskRecord] = (),
+    possibly_run: Sequence[TaskRecord] = (),
 ) -> None:
-    """Settle a job that will not be complete, as truly as can be said.
+    """Settle a job that will not complete, claiming only what is certain.
 
-    :param maybe: tasks of which nobody can say whether they ran.
+    :param possibly_run: tasks that may or may not have run.
     """
-    # A start in force may begin or end at any moment, so "not run" is said
-    # only when none was ever sent and not refused.
+    # A pending start may begin or end at any moment, so NOT_RUN is answered only
+    # if every start that was sent was also refused.
     record = state.submissions.get(job.submission_id)
-    nothing = record is not None and record.possible_starts == 0 and not maybe
+    nothing_ran = (
+        record is not None and record.possible_starts == 0 and not possibly_run
+    )
     answer = Answer(
         submission_id=job.submission_id,
-        outcome=Outcome.NOT_RUN if nothing else Outcome.FAILED,
-        ran=_what_ran(job, nothing, maybe),
+        outcome=Outcome.NOT_RUN if nothing_ran else Outcome.FAILED,
+        ran=_what_ran(job, nothing_ran, possibly_run),
         reason=reason,
         detail=detail,
         tasks_done=len(job.results) - job.remaining,
         tasks_total=len(job.results),
     )
-    _finish(state, job, answer, now)
+    _settle_job(state, job, answer, now)
 
 
 def settle_superseded(state: State, job: Job, now: float) -> None:
-    """End a job here whose successor alone may say how it ended."""
+    """End a job whose outcome only the successor may decide."""
     answer = Answer(
         submission_id=job.submission_id,
         outcome=Outcome.UNKNOWN,
@@ -85,11 +87,11 @@
         tasks_done=len(job.results) - job.remaining,
         tasks_total=len(job.results),
     )
-    _finish(state, job, answer, now)
+    _settle_job(state, job, answer, now)
 
 
 def supersede_all(state: State, now: float) -> None:
-    """End every job here after a successor fenced this incarnation."""
+    """End every job after a successor fenced this incarnation."""
     for job in list(state.jobs_by_id.values()):
         settle_superseded(state, job, now)
 
@@ -97,19 +99,21 @@
 def cancel(state: State, submission_id: str, now: float) -> bool:
     """Cancel a job that is not settled.
 
-    :returns: whether the cancellation settled it; if not, its answer stands.
+    :returns: whether the job was cancelled; False if it is unknown or settled.
     """
     job = state.jobs_by_id.get(submission_id)
     if job is None:
         return False
-    maybe = [r for r in job.records if r.state is TaskState.SPILLED]
+    possibly_run = [r for r in job.records if r.state is TaskState.SPILLED]
     detail = f"cancelled with {job.remaining} tasks to go"
-    settle_incomplete(state, job, Reason.CANCELLED, detail, now, maybe=maybe)
+    settle_incomplete(
+        state, job, Reason.CANCELLED, detail, now, possibly_run=possibly_run
+    )
     return True
 
 
-def _what_ran(job: Job, nothing: bool, maybe: Sequence[TaskRecord]) -> Ran:
-    if nothing:
+def _what_ran(job: Job, nothing_ran: bool, possibly_run: Sequence[TaskRecord]) -> Ran:
+    if nothing_ran:
         return Ran.NOTHING
     if job.remaining == 0:
         return Ran.EVERYTHING
@@ -118,23 +122,23 @@
     return Ran.MAYBE
 
 
-def _finish(state: State, job: Job, answer: Answer, now: float) -> None:
+def _settle_job(state: State, job: Job, answer: Answer, now: float) -> None:
     settled = state.submissions.settle(answer, now)
     del state.jobs_by_id[job.submission_id]
     state.queue.cancel(job.submission_id)
     state.queue.forget_job(job.submission_id)
     for record in job.records:
-        _drop(state, record, now)
+        _discard_record(state, record, now)
     state.ports.deliver(settled, job)
 
 
-def _drop(state: State, record: TaskRecord, now: float) -> None:
+def _discard_record(state: State, record: TaskRecord, now: float) -> None:
     ports = state.ports
     attempt = record.task.attempt
     match record.state:
         case TaskState.RUNNING:
-            # The slot is free only once the target says so: the record stays
-            # until the cancelled run's result arrives.
+            # The record keeps its slot until the target reports the end of the
+            # cancelled run.
             ports.send_cancel(record.target_id, record.key, attempt)
             record.state = TaskState.CANCELLED
         case TaskState.SPILLED:
--- a/src/cassiaturn/engine/_state.py
+++ b/src/cassiaturn/engine/_state.py
@@ -1,4 +1,4 @@
-"""All tables of an instance in one place, for the systems that run over them."""
+"""Scheduling state of an instance."""
 
 import heapq
 from collections import Counter, OrderedDict, deque
@@ -10,7 +10,7 @@
     Counters,
     EngineSettings,
     Job,
-    Returned,
+    ReturnedOutcome,
     TaskRecord,
     TaskState,
     Tenant,
@@ -29,12 +29,12 @@
 )
 from cassiaturn.submission import SubmissionTable
 
-FIRST_MEAN_RUN_S = 0.3
-"""Mean run time assumed before anything ran: the middle of 50 ms to 1 s."""
+INITIAL_MEAN_RUN_S = 0.3
+"""Mean run time assumed until runs are observed: the middle of 50 ms to 1 s."""
 
 
 class State:
-    """The tables; systems read and change them, nothing else does."""
+    """Tables of an instance; only the functions of this package change them."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
         self.jobs_by_id: dict[str, Job] = {}
         self.records_by_key: dict[TaskKey, TaskRecord] = {}
         self.in_flight_by_key: dict[TaskKey, TaskRecord] = {}
-        """Records with a start in force, so that the sweep's cost grows with
-        the slots and not with the queue."""
+        """Records that were sent to a target or a peer, so that the cost of the sweep
+        grows with the number of slots and not with the queue."""
         self.targets_by_id: dict[str, TargetRow] = {}
         self.peers_by_incarnation: dict[str, PeerRow] = {}
         self.queue = FairQueue(settings=policy.order, weights_by_tenant={})
@@ -69,30 +69,31 @@
         self.retries = RetryBudget(settings=policy.retries)
         self.running_by_tenant: Counter[str] = Counter()
         self.running_by_class: Counter[RequestClass] = Counter()
-        self.returned_by_peer: dict[str, OrderedDict[TaskKey, Returned]] = {}
+        self.returned_by_peer: dict[str, OrderedDict[TaskKey, ReturnedOutcome]] = {}
         self.tenant_loads_by_peer: dict[str, Mapping[str, int]] = {}
         """Running and queued tasks of each tenant, by reporting incarnation."""
         self.superseded = False
-        """True once targets fence this incarnation: only a successor may decide."""
+        """True once targets fence this incarnation: only its successor may decide."""
         self.draining = False
-        """True during a planned stop: nothing new is taken."""
+        """True during a planned stop: new submissions and peers' tasks are refused."""
         self.health_changes: list[HealthChange] = []
-        """Changes that nobody has logged yet."""
+        """Changes that are not logged yet."""
         self.failures_in_row_by_target: Counter[str] = Counter()
         self._acknowledgements: deque[Acknowledgement] = deque()
         self.blocked_until_by_target: dict[str, float] = {}
         self.quota_share_by_tenant: dict[str, float] = {}
         self.mean_run_s_by_class: dict[RequestClass, float] = dict.fromkeys(
-            RequestClass, FIRST_MEAN_RUN_S
+            RequestClass, INITIAL_MEAN_RUN_S
         )
         self.starts_held = False
-        """True after a pause: nothing starts until our claim to be home holds."""
-        self._due: list[tuple[float, int, TaskRecord]] = []
+        """True after a pause of the process: no task is started until it is certain
+        that this incarnation has no successor."""
+        self._delayed: list[tuple[float, int, TaskRecord]] = []
         self._deadlines: list[tuple[float, str]] = []
         self._sequence = 0
 
     def reconfigure(self, policy: PolicySettings) -> None:
-        """Put other tunables in force, as the shared configuration asks."""
+        """Apply changed policy settings from the shared configuration."""
         self.policy = policy
         self.admission.reconfigure(policy.admission)
         self.health.reconfigure(policy.health)
@@ -102,17 +103,17 @@
         """Keep a task out of the queue until a time, in seconds."""
         record.state = TaskState.DELAYED
         self._sequence += 1
-        heapq.heappush(self._due, (until, self._sequence, record))
+        heapq.heappush(self._delayed, (until, self._sequence, record))
 
     def acknowledge_later(self, record: TaskRecord, now: float) -> None:
-        """Let the target keep a result until a successor would not need it.
+        """Acknowledge a result once no successor would need the target's copy.
 
-        Until its caller has the answer the target's copy is the only one that
-        outlives this process; an early acknowledgement leaves a successor with
-        proof that the task ran and no result to answer with.
+        Until the caller has the answer, the target's copy is the only one that
+        survives a crash of this process. After an early acknowledgement a successor
+        would know that the task ran but would have no result to answer with.
         """
-        # The record itself would keep its payload: at 18,000 starts a second the
-        # process took 143 MiB with it and takes 97 without.
+        # Keeping the record would keep its payload: at 18,000 starts/s the process
+        # takes 143 MiB with payloads and 97 MiB without.
         self._acknowledgements.append(
             Acknowledgement(
                 due_at=now + self.settings.result_kept_s,
@@ -123,21 +124,21 @@
         )
 
     def pop_acknowledgement(self, now: float) -> Acknowledgement | None:
-        """Return a result that its target may forget now, if there is one."""
+        """Return an acknowledgement that is due, if there is one."""
         if self._acknowledgements and self._acknowledgements[0].due_at <= now:
             return self._acknowledgements.popleft()
         return None
 
     def pop_due(self, now: float) -> TaskRecord | None:
-        """Return a delayed task whose time has come, if there is one."""
-        while self._due and self._due[0][0] <= now:
-            record = heapq.heappop(self._due)[2]
+        """Return a delayed task that is due, if there is one."""
+        while self._delayed and self._delayed[0][0] <= now:
+            record = heapq.heappop(self._delayed)[2]
             if record.state is TaskState.DELAYED:
                 return record
         return None
 
     def add_deadline(self, job: Job) -> None:
-        """Watch a job's deadline."""
+        """Track the deadline of a job."""
         heapq.heappush(self._deadlines, (job.deadline_at, job.submission_id))
 
     def pop_deadline(self, now: float) -> Job | None:
@@ -150,7 +151,7 @@
         return None
 
     def enqueue(self, record: TaskRecord) -> None:
-        """Put a task into the fair queue."""
+        """Add a task to the fair queue."""
         record.state = TaskState.QUEUED
         self.queue.push(record.task)
 
--- a/src/cassiaturn/engine/_tables.py
+++ b/src/cassiaturn/engine/_tables.py
@@ -1,4 +1,4 @@
-"""The rows that an instance keeps: jobs, task records, settings."""
+"""Rows of the scheduling state: jobs, task records, tenants and settings."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
@@ -11,19 +11,20 @@
 
 
 class TaskState(Enum):
-    """Where a task stands at this instance."""
+    """State of a task at this instance."""
 
     QUEUED = auto()
     """In the fair queue; no start was sent."""
 
     DELAYED = auto()
-    """Waits for the pause before another try; no start is in force."""
+    """Waiting to be queued again: for a retry, or until an earlier home's run of it
+    must have ended. No start was sent."""
 
     RUNNING = auto()
     """A start was sent to a target that this instance holds."""
 
     SPILLED = auto()
-    """Given to a peer, which may or may not have started it."""
+    """Sent to a peer, which may or may not have started it."""
 
     DONE = auto()
     """Its result is known."""
@@ -33,45 +34,45 @@
 
 
 class Acknowledgement(NamedTuple):
-    """A result that its target may forget after a time."""
+    """An acknowledgement, due at a later time, that lets a target drop a result."""
 
     due_at: float
-    """When, in seconds."""
+    """Monotonic time at which to send it, in seconds."""
 
     target_id: str
-    """The target."""
+    """Target that keeps the result."""
 
     key: TaskKey
-    """The task."""
+    """Task of the result."""
 
     attempt: int
-    """The attempt whose result was taken."""
+    """Attempt that gave the result."""
 
 
 @dataclass(slots=True, kw_only=True)
 class TaskRecord:
-    """One task, at its home or at the holder that a peer gave it to."""
+    """One task, at its home or at the peer that it was spilled to."""
 
     key: TaskKey
-    """Which task this is."""
+    """Key of the task."""
 
     task: QueuedTask
-    """What the fair queue orders."""
+    """Entry of the fair queue."""
 
     method: Method
-    """The request and its declared options."""
+    """Requested method with its declared options."""
 
     payload: bytes
     """Serialized request."""
 
     home: str
-    """Incarnation of the submission's home; targets fence by it."""
+    """Incarnation of the submission's home; fences at targets refer to it."""
 
     origin: str | None
-    """Incarnation of the peer that gave it; None: this instance is its home."""
+    """Incarnation of the peer that spilled it; None if this instance is its home."""
 
     state: TaskState = TaskState.QUEUED
-    """Where it stands."""
+    """State of the task."""
 
     target_id: str = ""
     """Target that it was sent to, while ``RUNNING``."""
@@ -80,7 +81,7 @@
     """Incarnation of the peer that has it, while ``SPILLED``."""
 
     refusals: int = 0
-    """Starts of it that were refused, so that they never ran."""
+    """Number of refused starts; these never ran."""
 
     sent_at: float = 0.0
     """When the start or the spill was sent, in seconds."""
@@ -89,8 +90,8 @@
     """When its lease was last renewed, in seconds."""
 
     latest_end_at: float = 0.0
-    """When a run begun by the latest start is certainly over: the latest start
-    time plus the lease, in seconds. Pushed back by renewals."""
+    """Monotonic time at which a run begun by the latest start must have ended, in
+    seconds: the latest start-by time plus the lease. Renewals extend it."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -98,42 +99,43 @@
     """A submission at its home, until its answer is settled."""
 
     submission_id: str
-    """Ticket or the caller's own id."""
+    """Ticket, or an id chosen by the caller."""
 
     tenant: str
-    """Tenant that it counts against."""
+    """Tenant whose quota and share it uses."""
 
     caller: str
     """Caller within the tenant."""
 
     method: Method
-    """The request of all its tasks."""
+    """Method of all its tasks."""
 
     accepted_at: float
     """When it was admitted, in seconds."""
 
     deadline_at: float
-    """When its answer is of no more use, in seconds."""
+    """Monotonic time after which its answer is useless, in seconds."""
 
     results: list[bytes | None]
-    """One entry a task; None until its result is known."""
+    """One entry per task; None until its result is known."""
 
     remaining: int
-    """Tasks without a result."""
+    """Number of tasks without a result."""
 
     records: list[TaskRecord] = field(default_factory=list)
     """Its tasks that were not adopted from an earlier home."""
 
     ran: bool = False
-    """Whether some task is known to have run."""
+    """Whether at least one task is known to have run."""
 
     longest_run_s: float = 0.0
-    """Run time of its longest task, in seconds: the ideal response time."""
+    """Run time of its longest task, in seconds; the lower bound of its response
+    time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tenant:
-    """What the shared configuration grants a tenant."""
+    """Share and quota of a tenant in the shared configuration."""
 
     name: str
     """Name in the call metadata."""
@@ -142,59 +144,59 @@
     """Share of the slots under contention, relative to other tenants."""
 
     quota_slots: int
-    """Slots it may use at once over all instances; 0: no limit."""
+    """Maximum slots in use at once over all instances; 0 for no limit."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineSettings:
-    """Limits and times of one instance."""
+    """Limits and timeouts of one instance."""
 
     incarnation: str
     """Incarnation of this process."""
 
     instance_id: str
-    """Name of the instance, kept over restarts."""
+    """Name of the instance; the same after a restart."""
 
     failure_domain: str
     """Failure domain of the instance."""
 
     lease_s: float = 3.0
-    """Lease of a start, in seconds: long enough that tasks under a second need
-    no renewal, short enough that a successor waits seconds."""
+    """Lease of a start, in seconds: long enough that tasks under a second need no
+    renewal, short enough that a successor waits only seconds."""
 
     start_within_s: float = 1.0
     """How long after being sent a start may still begin, in seconds."""
 
     peer_silence_s: float = 3.0
-    """How long a holder renews a peer's task without hearing from the peer, in
-    seconds."""
+    """How long the leases of a peer's tasks are renewed without a frame from the
+    peer, in seconds."""
 
     peer_gone_s: float = 10.0
-    """Silence after which a peer is gone, in seconds."""
+    """Silence after which a peer counts as gone, in seconds."""
 
     result_kept_s: float = 15.0
-    """How long a target keeps a result after its job was settled, in seconds:
-    above the time in which a dead home's caller finds the successor."""
+    """How long a target keeps a result after its job was settled, in seconds: longer
+    than the caller of a dead home needs to find the successor."""
 
     spill_within_s: float = 2.0
     """How long a spilled task may wait at the peer, in seconds."""
 
     max_tasks_per_job: int = 750
-    """Tasks of one submission."""
+    """Maximum number of tasks of a submission."""
 
     max_payload_bytes: int = 1 << 20
-    """Size of one serialized request."""
+    """Maximum size of one serialized request."""
 
     max_job_bytes: int = 16 << 20
-    """Size of all serialized requests of a submission."""
+    """Maximum total size of the serialized requests of a submission."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Submission:
-    """A caller's request to run a job, checked for its form only."""
+    """A caller's request to run a job; limits and tenant are not checked yet."""
 
     submission_id: str
-    """Ticket or the caller's own id."""
+    """Ticket, or an id chosen by the caller."""
 
     tenant: str
     """Tenant named in the call metadata."""
@@ -206,27 +208,27 @@
     """Full method name."""
 
     payloads: Sequence[bytes]
-    """One serialized request a task."""
+    """One serialized request per task."""
 
     deadline_s: float
-    """Time until the answer is of no use, in seconds; 0: the method's own."""
+    """Time until the answer is useless, in seconds; 0 for the method's default."""
 
     adopted_by_index: Mapping[int, bytes] = field(default_factory=dict)
-    """Results, by task index, that were proved to belong to an earlier home's
-    run of this submission; those tasks do not run again."""
+    """Results by task index that are proven to come from an earlier home's run of
+    this submission; those tasks do not run again."""
 
     resumed: bool = False
-    """Whether an earlier home began it: its ticket names that home, and what
-    was begun may not be refused for load."""
+    """Whether an earlier home, named by the ticket, began it. It may then not be
+    refused because of load."""
 
     run_after_by_index: Mapping[int, float] = field(default_factory=dict)
-    """Tasks, by index, that may run only after a time, in seconds: an earlier
-    home's run of a repeatable task is over by then."""
+    """Monotonic time, in seconds, by task index, before which a repeatable task may
+    not run: an earlier home's run of it has ended by then."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """What the instance did, for its metrics; messages by their waste."""
+    """Counters for the metrics, including messages sent in vain."""
 
     starts: int = 0
     """Starts sent to targets."""
@@ -235,27 +237,27 @@
     """Starts that a target refused."""
 
     spills: int = 0
-    """Tasks given to peers."""
+    """Tasks spilled to peers."""
 
     refused_spills: int = 0
-    """Spilled tasks that a peer gave back."""
+    """Spilled tasks that a peer refused."""
 
     admitted: int = 0
     """Jobs admitted."""
 
     refused: int = 0
-    """Jobs refused before anything started."""
+    """Jobs refused before any task was started."""
 
     retries: int = 0
     """Second and later attempts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Returned:
-    """An outcome sent to the home of a spilled task, kept for a link loss."""
+class ReturnedOutcome:
+    """An outcome sent to the home of a spilled task, kept for retransmission."""
 
     outcome: peer_pb2.SpillOutcome
-    """The message as it was sent."""
+    """Message that was sent."""
 
     at: float
     """When it was first sent, in seconds."""
--- a/src/cassiaturn/engine/tests/test_interleavings.py
+++ b/src/cassiaturn/engine/tests/test_interleavings.py
@@ -1,29 +1,33 @@
-"""The real engine under cut streams and links, in many seeded orders of events."""
+"""Engine under lost streams and links, in seeded random orders of events."""
 
 from functools import partial
 
 import pytest
 
-from cassiaturn.engine.tests.virtual_fleet import ONCE, REPEATABLE, VirtualFleet
+from cassiaturn.engine.tests.virtual_fleet import (
+    NON_REPEATABLE,
+    REPEATABLE,
+    VirtualFleet,
+)
 from cassiaturn.entities import Outcome
 
 SEEDS = range(25)
 LOAD_S = 3.0
-SETTLING_S = 30.0
+SETTLE_S = 30.0
 
 
-def load(fleet: VirtualFleet) -> None:
-    """Submit jobs of both kinds at every instance over some seconds."""
+def submit_load(fleet: VirtualFleet) -> None:
+    """Submit repeatable and non-repeatable jobs at random instances and times."""
     for _ in range(60):
         home = fleet.rng.choice(list(fleet.states_by_id))
-        name = fleet.rng.choice([ONCE, REPEATABLE])
+        name = fleet.rng.choice([NON_REPEATABLE, REPEATABLE])
         tasks = fleet.rng.choice([1, 1, 2, 12])
         when = fleet.rng.uniform(0, LOAD_S)
         fleet.at(when, partial(fleet.submit, home, name, tasks))
 
 
-def check(fleet: VirtualFleet) -> None:
-    """Check what must hold of answers, starts and tables once all is quiet."""
+def check_invariants(fleet: VirtualFleet) -> None:
+    """Check answers, starts and tables after all jobs have ended."""
     assert not fleet.overlaps
     for submission_id, (name, tasks) in fleet.jobs_by_id.items():
         answers = fleet.answers_by_id.get(submission_id, [])
@@ -35,7 +39,7 @@
             assert list(answer.results) == expected
         if answer.outcome is Outcome.NOT_RUN:
             assert not begun
-        if name == ONCE:
+        if name == NON_REPEATABLE:
             assert all(fleet.starts[key] == 1 for key in begun)
     for state in fleet.states_by_id.values():
         assert not state.jobs_by_id
@@ -49,22 +53,22 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_without_faults_every_job_is_complete(seed: int) -> None:
     fleet = VirtualFleet(seed=seed)
-    load(fleet)
-    fleet.run(LOAD_S + SETTLING_S)
-    check(fleet)
+    submit_load(fleet)
+    fleet.run(LOAD_S + SETTLE_S)
+    check_invariants(fleet)
     outcomes = {answers[0].outcome for answers in fleet.answers_by_id.values()}
     assert outcomes == {Outcome.COMPLETE}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_links_that_break_for_a_moment_lose_and_double_nothing(seed: int) -> None:
-    """Links between instances break and come back before anyone is given up.
+def test_brief_peer_link_loss_neither_loses_nor_repeats_tasks(seed: int) -> None:
+    """Guards against tasks that are lost or run twice when a peer link breaks briefly.
 
-    Frames under way are lost both ways, both sides send again, and every caller
-    still gets a complete answer.
+    Links break and are restored before any peer counts as gone. Frames in transit
+    are lost in both directions, and both sides resend; every job must complete.
     """
     fleet = VirtualFleet(seed=seed)
-    load(fleet)
+    submit_load(fleet)
     ids = list(fleet.states_by_id)
     for _ in range(12):
         one, other = fleet.rng.sample(ids, 2)
@@ -72,57 +76,59 @@
         fleet.at(begin, partial(fleet.cut_link, one, other))
         end = begin + fleet.rng.uniform(0.01, 0.3)
         fleet.at(end, partial(fleet.restore_link, one, other))
-    fleet.run(LOAD_S + SETTLING_S)
-    check(fleet)
+    fleet.run(LOAD_S + SETTLE_S)
+    check_invariants(fleet)
     outcomes = {answers[0].outcome for answers in fleet.answers_by_id.values()}
     assert outcomes == {Outcome.COMPLETE}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_streams_to_targets_that_break_double_nothing(seed: int) -> None:
-    """Streams to targets break for less or more than a lease, and come back.
+def test_target_stream_loss_causes_no_duplicate_runs(seed: int) -> None:
+    """Guards against duplicate runs when the stream to a target breaks.
 
-    A target tells on the new stream what it began, so lost starts are sent again
-    and lost results arrive; what may have run and may not be repeated fails.
+    Streams break for less or more than a lease. On the new stream the target lists
+    what it began, so lost starts are retried and lost results arrive. A task that
+    may have run and is not repeatable fails.
     """
     fleet = VirtualFleet(seed=seed)
-    load(fleet)
+    submit_load(fleet)
     for _ in range(8):
         target = fleet.rng.choice(list(fleet.targets_by_id.values()))
         begin = fleet.rng.uniform(0, LOAD_S)
         fleet.at(begin, target.cut)
         end = begin + fleet.rng.choice([0.05, 0.3, 4.0])
         fleet.at(end, target.connect)
-    fleet.run(LOAD_S + SETTLING_S)
-    check(fleet)
+    fleet.run(LOAD_S + SETTLE_S)
+    check_invariants(fleet)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_peer_taken_for_gone_that_lives_on_doubles_nothing(seed: int) -> None:
-    """A link breaks for long; each side takes the other for gone while both live.
+def test_live_peer_declared_gone_causes_no_duplicate_runs(seed: int) -> None:
+    """Guards against duplicate runs when a live peer is declared gone.
 
-    Tasks given to the other side run on there. They run again only once that run
-    is certainly over, and those that may not be repeated never do.
+    A link stays broken until each side declares the other gone, while the tasks
+    that it spilled go on running there. They may be rerun only once that run must
+    have ended, and non-repeatable ones never.
     """
     fleet = VirtualFleet(seed=seed, targets_each=5, long_share=0.3)
-    load(fleet)
+    submit_load(fleet)
     one, other = fleet.rng.sample(list(fleet.states_by_id), 2)
     begin = fleet.rng.uniform(0.2, LOAD_S)
     fleet.at(begin, partial(fleet.cut_link, one, other))
-    fleet.at(begin + 1.0, partial(fleet.take_for_gone, one, other))
-    fleet.run(LOAD_S + SETTLING_S)
-    check(fleet)
+    fleet.at(begin + 1.0, partial(fleet.declare_gone, one, other))
+    fleet.run(LOAD_S + SETTLE_S)
+    check_invariants(fleet)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_cancellations_whose_frames_are_lost_leave_nothing_behind(seed: int) -> None:
-    """Callers cancel while streams to targets break.
+def test_lost_cancel_frames_leak_no_slots_or_records(seed: int) -> None:
+    """Guards against leaked slots and records when cancel frames are lost.
 
-    A cancelled task's slot is free again once its target says so or its lease is
-    over, also when the frame that should stop it was lost.
+    Callers cancel jobs while streams to targets break. The slot of a cancelled task
+    must be released once its target reports the end or the lease expires.
     """
     fleet = VirtualFleet(seed=seed, long_share=0.5)
-    load(fleet)
+    submit_load(fleet)
     for _ in range(40):
         fleet.at(fleet.rng.uniform(0.1, LOAD_S), fleet.cancel_one)
     for _ in range(8):
@@ -130,5 +136,5 @@
         begin = fleet.rng.uniform(0, LOAD_S)
         fleet.at(begin, target.cut)
         fleet.at(begin + fleet.rng.choice([0.01, 0.1]), target.connect)
-    fleet.run(LOAD_S + SETTLING_S)
-    check(fleet)
+    fleet.run(LOAD_S + SETTLE_S)
+    check_invariants(fleet)
--- a/src/cassiaturn/engine/tests/virtual_fleet.py
+++ b/src/cassiaturn/engine/tests/virtual_fleet.py
@@ -1,9 +1,9 @@
-"""Engines of several instances with their targets, in virtual time.
+"""Simulates the engines of several instances and their targets in virtual time.
 
-The real engine runs; streams and targets are small fakes. Frames take a random
-time, arrive in order within a stream, and are lost with their stream. Targets use
-the runner stand-in's own table, so slots, start-by times, leases and duplicates
-are enforced as there.
+The engine is the real one; streams and targets are fakes. Frames have a random
+delay, arrive in order within a stream, and are lost when their stream breaks.
+Targets use the task table of the runner stand-in, which enforces slots, start-by
+times, leases and the rejection of duplicates.
 """
 
 import heapq
@@ -46,13 +46,13 @@
 from cassiaturn.v1 import peer_pb2, runner_pb2
 
 REPEATABLE = "test.Service/Check"
-ONCE = "test.Service/Order"
+NON_REPEATABLE = "test.Service/Order"
 TICK_S = 0.02
 SLOTS = 4
-FASTEST_S = 0.0002
-SLOWEST_S = 0.004
-MANY = 1 << 30
-MS = 1000
+MIN_DELAY_S = 0.0002
+MAX_DELAY_S = 0.004
+UNLIMITED = 1 << 30
+MS_PER_S = 1000
 
 
 def method(name: str, *, repeatable: bool) -> Method:
@@ -69,13 +69,13 @@
 SCHEMA = Schema(
     methods_by_name={
         REPEATABLE: method(REPEATABLE, repeatable=True),
-        ONCE: method(ONCE, repeatable=False),
+        NON_REPEATABLE: method(NON_REPEATABLE, repeatable=False),
     }
 )
 
 
 class VirtualTarget:
-    """A target with its enforcement, and a stream to its holder."""
+    """A target with a task table and a stream to the instance that holds it."""
 
     def __init__(self, *, fleet: "VirtualFleet", target_id: str, holder: str) -> None:
         self.fleet = fleet
@@ -87,9 +87,9 @@
         self.fails = False
 
     def connect(self) -> None:
-        """Welcome the holder on a new stream and tell what it began here."""
-        # A new stream ends the one before it: the runner ignores its frames from
-        # here on, so that what the welcome does not list was not begun.
+        """Open a new stream and list the tasks that the holder began here."""
+        # The runner ignores frames of an earlier stream from here on, so a task
+        # that the welcome does not list was not begun.
         self.stream += 1
         self.connected = True
         listed = [t.to_message() for t in self.table.unacknowledged_of(self.holder)]
@@ -105,14 +105,14 @@
         self.fleet.send(("target", self.target_id), self._guard(welcome))
 
     def cut(self) -> None:
-        """Lose the stream and every frame on it."""
+        """Break the stream; all its frames in transit are lost."""
         self.stream += 1
         self.connected = False
         state = self.fleet.states_by_id[self.holder]
         state.targets_by_id[self.target_id].connected = False
 
     def receive(self, deliver: Callable[[], None]) -> None:
-        """Let a frame of the holder arrive, if the stream lasts."""
+        """Deliver a frame of the holder unless the stream breaks first."""
         if self.connected:
             self.fleet.send(("holder", self.target_id), self._guard(deliver))
 
@@ -121,7 +121,7 @@
         key = TaskKey(start.ref.submission_id, start.ref.index)
         if not isinstance(begun, BegunTask):
             refusal = runner_pb2.StartRefusal(ref=start.ref, reason=int(begun))  # type: ignore[arg-type]
-            self._tell(
+            self._send_to_holder(
                 lambda state, now: on_refusal(state, self.target_id, refusal, now)
             )
             return
@@ -143,7 +143,7 @@
         )
         if task is not None:
             message = task.to_message()
-            self._tell(
+            self._send_to_holder(
                 lambda state, now: on_result(state, self.target_id, message, now)
             )
 
@@ -151,7 +151,7 @@
         for task in self.table.lapsed(now_ms=self.fleet.now_ms):
             self.end(task.key, RunStatus.LEASE_LAPSED, task.attempt)
 
-    def _tell(self, take: Callable[[State, float], object]) -> None:
+    def _send_to_holder(self, take: Callable[[State, float], object]) -> None:
         state = self.fleet.states_by_id[self.holder]
 
         def deliver() -> None:
@@ -172,7 +172,7 @@
 
 
 class VirtualPorts(Ports):
-    """Sends what an engine asks for through the fleet."""
+    """Sends the frames of an engine through the virtual fleet."""
 
     def __init__(self, *, fleet: "VirtualFleet", me: str) -> None:
         self.fleet = fleet
@@ -184,7 +184,7 @@
             method=record.method.name,
             payload=record.payload,
             home=record.home,
-            start_by_ms=self.fleet.now_ms + int(within_s * MS),
+            start_by_ms=self.fleet.now_ms + int(within_s * MS_PER_S),
             lease_ms=lease_ms,
         )
         target = self.fleet.targets_by_id[record.target_id]
@@ -220,7 +220,7 @@
             caller=record.task.caller,
             request_class=int(record.task.request_class),
             repeatable=record.method.repeatable,
-            start_by_ms=self.fleet.now_ms + int(within_s * MS),
+            start_by_ms=self.fleet.now_ms + int(within_s * MS_PER_S),
             expected_run_ms=100,
             job_remaining=job_remaining,
         )
@@ -236,14 +236,14 @@
         self.fleet.answers_by_id.setdefault(answer.submission_id, []).append(answer)
 
     def superseded(self) -> None:
-        raise AssertionError("nobody fences here")
+        raise AssertionError("no target fences in this simulation")
 
     def _to_peer(self, peer: str, take: Callable[[State, float], object]) -> None:
         self.fleet.to_peer(self.me, peer, take)
 
 
 class VirtualFleet:
-    """Engines, targets, an event heap and a seed."""
+    """Engines and targets, driven by a seeded heap of events."""
 
     def __init__(
         self,
@@ -277,7 +277,7 @@
 
     @property
     def now_ms(self) -> int:
-        return int(self.now * MS)
+        return int(self.now * MS_PER_S)
 
     def at(self, delay_s: float, event: Callable[[], None]) -> None:
         self._sequence += 1
@@ -285,18 +285,18 @@
 
     def send(self, stream: object, deliver: Callable[[], None]) -> None:
         """Deliver after a random delay, in order within a stream."""
-        arrival = self.now + self.rng.uniform(FASTEST_S, SLOWEST_S)
+        arrival = self.now + self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S)
         arrival = max(arrival, self._last_arrival.get(stream, 0.0))
         self._last_arrival[stream] = arrival
         self.at(arrival - self.now, deliver)
 
     def extra_run_s(self) -> float:
-        """Return what a run takes beyond the usual, in seconds."""
+        """Return the additional run time of a long task, else 0, in seconds."""
         is_long = self._long_rng.random() < self._long_share
         return self._long_rng.uniform(1.0, 4.0) if is_long else 0.0
 
     def is_running_elsewhere(self, key: TaskKey, here: VirtualTarget) -> bool:
-        """Return whether another target runs a task now."""
+        """Return whether a target other than ``here`` runs a task now."""
         others = [one for one in self.targets_by_id.values() if one is not here]
         return any(key in one.table.running_by_key for one in others)
 
@@ -323,7 +323,7 @@
         dispatch(state, self.now)
 
     def cancel_one(self) -> None:
-        """Cancel some job that is not settled, at its home."""
+        """Cancel a random job that is not settled, at its home."""
         homes = [state for state in self.states_by_id.values() if state.jobs_by_id]
         if homes:
             state = self.rng.choice(homes)
@@ -346,19 +346,19 @@
         self.send((sender, peer), arrive)
 
     def cut_link(self, one: str, other: str) -> None:
-        """Lose a link and every frame on it."""
+        """Break a link; all its frames in transit are lost."""
         pair = frozenset((one, other))
         self._cut.add(pair)
         self._links[pair] = self._links.get(pair, 0) + 1
 
     def restore_link(self, one: str, other: str) -> None:
-        """Bring a link back; both sides send again what may be lost."""
+        """Restore a link; both sides resend what may have been lost."""
         self._cut.discard(frozenset((one, other)))
         resend(self.states_by_id[one], other)
         resend(self.states_by_id[other], one)
 
-    def take_for_gone(self, one: str, other: str) -> None:
-        """Let each side of a cut link take the other for gone."""
+    def declare_gone(self, one: str, other: str) -> None:
+        """Let each side of a broken link declare the other gone."""
         on_peer_gone(self.states_by_id[one], other, self.now)
         on_peer_gone(self.states_by_id[other], one, self.now)
 
@@ -374,7 +374,7 @@
         self.at(0.0, run_ticks)
 
     def _report(self, me: str, state: State) -> None:
-        # Stands for the load that rides on frames and heartbeats.
+        # Replaces the load reports that frames and heartbeats carry.
         for other, peer in self.states_by_id.items():
             row = peer.peers_by_incarnation.get(me)
             if other == me or row is None or frozenset((me, other)) in self._cut:
@@ -419,7 +419,9 @@
             worker=target_id,
             slots=SLOTS,
             connections=64,
-            capacity=Resources(cpu_millis=MANY, memory_mib=MANY, accelerators=MANY),
+            capacity=Resources(
+                cpu_millis=UNLIMITED, memory_mib=UNLIMITED, accelerators=UNLIMITED
+            ),
         )
         state.health.add(target_id, SLOTS)
 
