--- a/src/cassiaturn/recovery/__init__.py
+++ b/src/cassiaturn/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""What becomes of the submissions of an instance that is gone."""
+"""Takes over the submissions of an instance that is gone."""
 
 from cassiaturn.entities import RunStatus
 from cassiaturn.recovery._decision import (
--- a/src/cassiaturn/recovery/_decision.py
+++ b/src/cassiaturn/recovery/_decision.py
@@ -1,7 +1,7 @@
-"""What a successor does with each task of a home that is gone.
+"""Decides what a successor does with each task of a home that is gone.
 
-The rule is proof, not likelihood: a task runs again only if no earlier run of it
-can still be going on, and a task that may not be repeated only if none began.
+Decisions rest on proof, not on likelihood: a task runs again only if no earlier run
+of it can still be in progress, and a non-repeatable task only if no run began.
 """
 
 from collections.abc import Collection
@@ -13,26 +13,26 @@
 
 
 class RunProof(Enum):
-    """Why a task may run now."""
+    """Proof on which a task may run now."""
 
     NEVER_BEGUN = "never_begun"
-    """Every target that could have begun it denies it for good."""
+    """Every target that could have begun it reported that it did not and never will."""
 
     EARLIER_RUN_OVER = "earlier_run_over"
-    """It may be repeated, and any earlier run has ended."""
+    """It is repeatable, and any earlier run has ended."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Adopt:
-    """Take the result of the first run."""
+    """Use the result of an earlier run."""
 
     begun: ReportedRun
-    """The run that is done."""
+    """Run that is done."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunNow:
-    """Start the task as one's own."""
+    """Start the task now, as a task of the successor."""
 
     proof: RunProof
     """What was proved."""
@@ -40,45 +40,45 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AwaitRunning:
-    """The first run goes on at a target in reach: wait for its result."""
+    """Wait for the result of a run in progress at a reachable target."""
 
     begun: ReportedRun
-    """The run."""
+    """Run in progress."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunAfter:
-    """Start the task once every earlier run must have ended."""
+    """Start the task later, once every earlier run must have ended."""
 
     at: float
-    """Monotonic time, in seconds."""
+    """Monotonic time of the earliest start, in seconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FailTask:
-    """The task has no result and may not run again."""
+    """Fail the task: it has no result and may not run again."""
 
     ran: Ran
-    """What ran of this task."""
+    """How much of the task ran."""
 
     reason: Reason
     """Why it has no result."""
 
     detail: str = ""
-    """What the task reported, if it did."""
+    """Error that the task reported, if any."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Undetermined:
-    """Nobody in reach can say whether the task ran."""
+    """No reachable target can prove whether the task ran."""
 
     silent_targets: Collection[str]
-    """Targets whose word is missing: the silent ones, else those that forgot, else
-    those that are gone."""
+    """Targets whose report is missing: those that did not answer, else those that
+    forgot runs, else those that are gone."""
 
 
 TaskDecision = Adopt | RunNow | AwaitRunning | RunAfter | FailTask | Undetermined
-"""Everything that can be decided for a task."""
+"""Every possible decision on a task."""
 
 
 def decide_task(
@@ -92,7 +92,7 @@
     latest_end_at: float | None,
     now: float,
 ) -> TaskDecision:
-    """Decide a task by what its targets prove; the first line that fits holds.
+    """Decide on a task from what targets prove; the first matching row applies.
 
     ==============================  ===========================  =============
     known                           repeatable                   not repeatable
@@ -101,7 +101,8 @@
     begun, done, result dropped     Undetermined                 Undetermined
     begun, failed                   FailTask(EVERYTHING)         the same
     begun, cancelled                FailTask(SOME)               the same
-    begun, running, target in reach AwaitRunning                 AwaitRunning
+    begun, running, reachable       AwaitRunning                 AwaitRunning
+    target
     begun, running, target gone     as "not begun" below         Undetermined
     begun, lease lapsed             as "not begun" below         FailTask(SOME)
     not begun, silent target        RunAfter(latest_end_at),     Undetermined
@@ -112,19 +113,25 @@
     not begun, all fenced           RunNow(NEVER_BEGUN)          the same
     ==============================  ===========================  =============
 
-    A run on a target that is gone is no failure for sure: the home may have got
-    its result, and told its caller, before the target went. A lapsed lease is one,
-    since its result never existed. Ask again when an awaited run ends without a
-    result: a home that is alive but cut off may start the task elsewhere.
+    A run on a target that is gone is not certainly a failure: the home may have
+    received its result and answered the caller before the target ended. A run whose
+    lease lapsed is a failure, since it never had a result. Decide again when an
+    awaited run ends without a result: a home that is alive but partitioned may
+    start the task elsewhere.
 
     :param repeatable: whether the task may run again.
-    :param begun: the best run that any target reported.
-    :param fenced_targets: refuse the dead home's starts, and remember every run.
-    :param unfenced_targets: did not answer the fence; may still start the task.
-    :param gone_targets: ended, with whatever ran there; they can tell nothing.
-    :param forgetful_targets: refuse its starts, but forgot runs that ended.
-    :param latest_end_at: time by which no run of the dead home can go on anywhere, from
-        start-by times and leases; None unless that home is known to have ended.
+    :param begun: the most conclusive run that any target reported, if any.
+    :param fenced_targets: targets that refuse the dead home's starts and remember
+        every run.
+    :param unfenced_targets: targets that did not answer the fence and may still
+        start the task.
+    :param gone_targets: targets whose process ended, and all runs with it; they
+        cannot report.
+    :param forgetful_targets: targets that refuse its starts but forgot runs that
+        ended.
+    :param latest_end_at: monotonic time, in seconds, by which every run of the dead
+        home must have ended, from start-by times and leases; None unless that home
+        is known to have ended.
     :param now: monotonic time, in seconds.
     """
     if begun is not None:
@@ -153,8 +160,8 @@
 ) -> TaskDecision | None:
     match begun.status:
         case RunStatus.DONE if begun.result_dropped:
-            # Its home had the result and may have answered with it. The empty
-            # rest, taken for a reply, would be a wrong answer.
+            # The home had the result and may have answered with it. The empty
+            # result that is left must not be taken for a reply.
             return Undetermined(silent_targets=())
         case RunStatus.DONE:
             return Adopt(begun=begun)
--- a/src/cassiaturn/recovery/_pause.py
+++ b/src/cassiaturn/recovery/_pause.py
@@ -1,9 +1,9 @@
-"""Notices that this process stood still, and holds its starts until it knows.
+"""Detects that this process was paused, and holds starts until its row is read.
 
-A process that was stopped longer than the suspicion timeout may have a successor
-by the time that it wakes. Its queued starts are then refused by every fenced
-target; held, they cost no message, and its callers hear the truth sooner. Safety
-does not rest on the hold: fences and start-by times refuse what slips through.
+A process that was paused for longer than the suspicion timeout may have a successor
+when it resumes. Every fenced target then refuses its queued starts; holding them
+saves these messages, and callers get a correct answer sooner. Safety does not
+depend on the hold: fences and start-by times refuse starts that are sent anyway.
 """
 
 from enum import Enum
@@ -13,24 +13,25 @@
     """Whether starts may be sent."""
 
     FREE = "free"
-    """Yes."""
+    """Starts may be sent."""
 
     HELD = "held"
-    """No: our own takeover row must be read first."""
+    """Starts are held until the takeover row of this incarnation is read."""
 
     BLIND = "blind"
-    """The store is unreachable. Starts go on: a successor needs a row there, so
-    one that exists was written before the outage, and its fences refuse us."""
+    """The store is unreachable, and starts may be sent: a successor needs a row
+    there, so its row was written before the outage, and its fences refuse the
+    starts of this incarnation."""
 
     SUPERSEDED = "superseded"
-    """Never again as this incarnation: answer ``UNKNOWN`` for what is open, and
-    begin a new incarnation."""
+    """A successor exists. This incarnation must send no more starts, answer
+    ``UNKNOWN`` for open submissions, and be replaced by a new incarnation."""
 
 
 class PauseDetector:
-    """Compares the times of ticks on the monotonic clock.
+    """Detects pauses from the monotonic time between ticks.
 
-    Call :meth:`tick` at the head of every tick, before anything is sent.
+    Call :meth:`tick` at the start of every tick, before anything is sent.
     """
 
     def __init__(self, *, suspicion_timeout_s: float) -> None:
@@ -40,24 +41,24 @@
 
     @property
     def state(self) -> HoldState:
-        """Whether starts may be sent."""
+        """Current hold state."""
         return self._state
 
     @property
     def may_start(self) -> bool:
         """Whether starts may be sent now."""
-        return self._state in _STARTING
+        return self._state in _START_ALLOWED
 
     @property
     def must_read(self) -> bool:
-        """Whether our own takeover row is to be read now."""
-        return self._state in _READING
+        """Whether the takeover row of this incarnation must be read now."""
+        return self._state in _READ_REQUIRED
 
     def tick(self, now: float) -> HoldState:
-        """Note a tick; one that comes too late begins a hold.
+        """Record a tick; a late one starts a hold.
 
-        :param now: monotonic time, in seconds. On Linux it goes on through
-            SIGSTOP, but not while the host itself sleeps.
+        :param now: monotonic time, in seconds. On Linux this clock keeps running
+            during SIGSTOP, but not while the host is suspended.
         """
         last = self._ticked_at
         self._ticked_at = now
@@ -78,11 +79,11 @@
         return self._state
 
     def store_unreachable(self) -> HoldState:
-        """Report that the row could not be read; it is still to be read."""
+        """Report that the row could not be read; it must still be read later."""
         if self._state is HoldState.HELD:
             self._state = HoldState.BLIND
         return self._state
 
 
-_STARTING = frozenset({HoldState.FREE, HoldState.BLIND})
-_READING = frozenset({HoldState.HELD, HoldState.BLIND})
+_START_ALLOWED = frozenset({HoldState.FREE, HoldState.BLIND})
+_READ_REQUIRED = frozenset({HoldState.HELD, HoldState.BLIND})
--- a/src/cassiaturn/recovery/_progress.py
+++ b/src/cassiaturn/recovery/_progress.py
@@ -1,4 +1,4 @@
-"""One takeover as an entity: its row, its fences, and what targets told."""
+"""State of one takeover: its row, its fences and the reports of targets."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
@@ -10,35 +10,35 @@
 
 
 class TakeoverPhase(Enum):
-    """How far a takeover is."""
+    """Phase of a takeover."""
 
     WANTED = "wanted"
     """The row is to be inserted."""
 
     INSERTING = "inserting"
-    """The row is on its way to the store."""
+    """The insert was sent to the store and is not answered yet."""
 
     FENCING = "fencing"
-    """This incarnation is the successor and asks every target."""
+    """This incarnation is the successor and fences every target."""
 
     YIELDED = "yielded"
-    """Another incarnation is the successor: forward to it."""
+    """Another incarnation is the successor; requests are forwarded to it."""
 
 
 class FenceState(Enum):
-    """What one target said to a fence."""
+    """State of the fence at one target."""
 
     DUE = "due"
-    """Nothing yet: it may still start tasks of the dead home."""
+    """Not answered yet: it may still start tasks of the dead home."""
 
     FENCED = "fenced"
-    """It starts none any more, and told every run that it began."""
+    """It starts no more tasks of the dead home and reported every run it began."""
 
     FORGETFUL = "forgetful"
-    """It starts none any more, but forgot runs that ended."""
+    """It starts no more tasks of the dead home, but has forgotten runs that ended."""
 
     GONE = "gone"
-    """Its process ended: nothing runs there, and nothing can be told."""
+    """Its process ended: nothing runs there, and it cannot report."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -49,12 +49,12 @@
     """Incarnation whose starts the target is to refuse."""
 
     target_id: str
-    """Target to ask."""
+    """Target to send it to."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Takeover:
-    """A row of the takeover table: one dead incarnation."""
+    """The takeover of one dead incarnation."""
 
     row: TakeoverRow
     """The row in the store, or the one to insert."""
@@ -62,43 +62,43 @@
     targets_by_state: dict[FenceState, set[str]] = field(
         default_factory=lambda: {state: set() for state in FenceState}
     )
-    """Every target that the dead home may have reached, by what it said."""
+    """Every target that the dead home may have reached, by the state of its fence."""
 
-    open_targets: dict[str, None] = field(default_factory=dict)
-    """Targets to ask: the silent ones, and those with running tasks."""
+    targets_to_ask: dict[str, None] = field(default_factory=dict)
+    """Targets that did not answer or have running tasks."""
 
     phase: TakeoverPhase = TakeoverPhase.WANTED
-    """How far it is."""
+    """Phase of the takeover."""
 
     runs_by_key: dict[TaskKey, ReportedRun] = field(default_factory=dict)
-    """The best run that any target told of, by task."""
+    """The most conclusive run that any target reported, by task."""
 
-    asked_by_target: set[str] = field(default_factory=set)
+    fences_in_flight: set[str] = field(default_factory=set)
     """Targets with a fence in flight."""
 
-    ask_again_at_by_target: dict[str, float] = field(default_factory=dict)
-    """Earliest time of the next fence to a target, in seconds."""
+    next_fence_at_by_target: dict[str, float] = field(default_factory=dict)
+    """Earliest monotonic time of the next fence to a target, in seconds."""
 
     used_at: float | None = None
-    """Time at which it was last needed, in seconds; None: not since it was made."""
+    """Monotonic time at which it was last used, in seconds; None if never."""
 
     @property
     def is_complete(self) -> bool:
-        """Whether every target answered or is gone."""
+        """Whether every target answered its fence or is gone."""
         return not self.targets_by_state[FenceState.DUE]
 
     def add_target(self, target_id: str) -> None:
-        """Note a target that has said nothing yet."""
+        """Add a target whose fence is due."""
         self.targets_by_state[FenceState.DUE].add(target_id)
-        self.open_targets[target_id] = None
+        self.targets_to_ask[target_id] = None
 
     def note_gone(self, target_id: str) -> None:
-        """Note that a target's process ended."""
+        """Record that the process of a target ended."""
         self._set_state(target_id, FenceState.GONE)
-        self.open_targets.pop(target_id, None)
+        self.targets_to_ask.pop(target_id, None)
 
     def note_report(self, report: FenceReport) -> None:
-        """Note a target's answer to a fence."""
+        """Record a target's reply to a fence."""
         if report.target_id in self.targets_by_state[FenceState.GONE]:
             return
         state = FenceState.FENCED if report.exhaustive else FenceState.FORGETFUL
@@ -108,9 +108,9 @@
             self.note_run(key, run)
             running = running or run.status is RunStatus.RUNNING
         if running:
-            self.open_targets[report.target_id] = None
+            self.targets_to_ask[report.target_id] = None
         else:
-            self.open_targets.pop(report.target_id, None)
+            self.targets_to_ask.pop(report.target_id, None)
 
     def _set_state(self, target_id: str, state: FenceState) -> None:
         for targets in self.targets_by_state.values():
@@ -118,7 +118,7 @@
         self.targets_by_state[state].add(target_id)
 
     def note_run(self, key: TaskKey, run: ReportedRun) -> None:
-        """Keep a run unless a better one is known.
+        """Record a reported run unless a more conclusive one is known.
 
         A later report of the same target replaces its earlier one.
         """
@@ -131,37 +131,38 @@
             self.runs_by_key[key] = best
 
     def targets_due(self, now: float) -> Sequence[str]:
-        """Return targets to ask now: silent ones, and those with running tasks.
+        """Return targets to fence now: unanswered ones, and those with running tasks.
 
         :param now: monotonic time, in seconds.
         """
         return [
             target_id
-            for target_id in self.open_targets
-            if target_id not in self.asked_by_target
-            and now >= self.ask_again_at_by_target.get(target_id, now)
+            for target_id in self.targets_to_ask
+            if target_id not in self.fences_in_flight
+            and now >= self.next_fence_at_by_target.get(target_id, now)
         ]
 
 
 def better_run(
     known: ReportedRun | None, other: ReportedRun | None
 ) -> ReportedRun | None:
-    """Return the run that says more about how a task ended."""
+    """Return the run that is more conclusive about how a task ended."""
     if known is None or other is None:
         return known or other
-    return min(known, other, key=lambda run: _WORTH[run.status])
+    return min(known, other, key=lambda run: _CERTAINTY_RANK[run.status])
 
 
-def in_any(line: Sequence[Takeover], state: FenceState) -> Collection[str]:
-    """Return targets in a state for at least one takeover of a line."""
+def targets_in_state(lineage: Sequence[Takeover], state: FenceState) -> Collection[str]:
+    """Return targets in a state for at least one takeover of a lineage."""
     found: frozenset[str] = frozenset()
-    return found.union(*(takeover.targets_by_state[state] for takeover in line))
+    return found.union(*(takeover.targets_by_state[state] for takeover in lineage))
 
 
-_WORTH = {
+_CERTAINTY_RANK = {
     RunStatus.DONE: 0,
     RunStatus.RUNNING: 1,
     RunStatus.FAILED: 2,
     RunStatus.CANCELLED: 3,
     RunStatus.LEASE_LAPSED: 4,
 }
+"""Lower ranks are more conclusive."""
--- a/src/cassiaturn/recovery/_reported_run.py
+++ b/src/cassiaturn/recovery/_reported_run.py
@@ -1,4 +1,4 @@
-"""What a target tells of a task that it began."""
+"""Runs that a target reports in its reply to a fence."""
 
 from dataclasses import dataclass
 
@@ -8,55 +8,55 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReportedRun:
-    """One run of a task, as its target reports it; proof that it began."""
+    """One run of a task as reported by its target; proof that the task began."""
 
     target_id: str
     """Target that began it."""
 
     status: RunStatus
-    """How far it is."""
+    """Status of the run."""
 
     attempt: int = 0
     """Attempt of the task, from 0."""
 
     result: bytes = b""
-    """Serialized reply; only of a run that is done."""
+    """Serialized reply; set only if the run is done."""
 
     result_dropped: bool = False
-    """Whether the result was acknowledged and is no longer kept there."""
+    """Whether the result was acknowledged and the target dropped it."""
 
     detail: str = ""
     """What the task reported when it failed."""
 
     run_ms: int = 0
-    """Time that it ran, in milliseconds."""
+    """Run time, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FenceReport:
-    """A target's answer to a fence: it starts nothing of that home any more."""
+    """A target's reply to a fence: it starts no more tasks of the fenced home."""
 
     target_id: str
-    """Target that answered."""
+    """Target that replied."""
 
     begun: "tuple[tuple[TaskKey, ReportedRun], ...]"
-    """Runs of that home which the target remembers."""
+    """Runs of the fenced home that the target remembers."""
 
     exhaustive: bool
-    """Whether it forgot none since it began."""
+    """Whether it has forgotten no run since it started."""
 
     @classmethod
     def from_message(cls, message: pb.FenceReply) -> "FenceReport":
-        """Return the report that a message carries.
+        """Return the report of a message.
 
-        :raises ValueError: a status is unknown here.
+        :raises ValueError: a status is unknown to this version.
         """
         return cls(
             target_id=message.target_id,
             begun=tuple(
                 (
                     TaskKey(result.ref.submission_id, result.ref.index),
-                    _to_begun(message.target_id, result),
+                    _to_reported_run(message.target_id, result),
                 )
                 for result in message.begun
             ),
@@ -64,7 +64,7 @@
         )
 
 
-def _to_begun(target_id: str, result: pb.TaskResult) -> ReportedRun:
+def _to_reported_run(target_id: str, result: pb.TaskResult) -> ReportedRun:
     return ReportedRun(
         target_id=target_id,
         status=RunStatus(result.status),
--- a/src/cassiaturn/recovery/_rows.py
+++ b/src/cassiaturn/recovery/_rows.py
@@ -1,9 +1,9 @@
-"""Rows of the table service that name the successor of an incarnation."""
+"""Rows of the table service that record the successor of an incarnation."""
 
 from dataclasses import dataclass
 
 TAKEOVER_PREFIX = "takeover/"
-"""Keys of takeovers start so."""
+"""Prefix of the keys of takeover rows."""
 
 
 def takeover_key(incarnation: str) -> str:
@@ -13,16 +13,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TakeoverRow:
-    """A takeover; inserted once, never changed, so there is one successor."""
+    """A takeover; inserted once and never changed, so there is only one successor."""
 
     dead: str
-    """Incarnation that is succeeded."""
+    """Incarnation that is taken over."""
 
     successor: str
-    """Incarnation that alone may decide for it."""
+    """Incarnation that alone may decide on its submissions."""
 
     token: str
-    """Names the attempt that wrote the row, so that a lost answer is settled."""
+    """Identifies the attempt that wrote the row, so that its author recognizes it
+    after a lost answer."""
 
     @property
     def key(self) -> str:
--- a/src/cassiaturn/recovery/_submission.py
+++ b/src/cassiaturn/recovery/_submission.py
@@ -1,4 +1,4 @@
-"""What a successor tells the callers of a home that is gone."""
+"""Decides what a successor answers to the callers of a home that is gone."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -13,52 +13,53 @@
     Undetermined,
 )
 
-_NAMED_TARGETS = 5
+_MAX_NAMED_TARGETS = 5
 
 RETRY_AFTER_TAKEOVER_MS = 1
-"""Advice with ``NOT_RUN``: come back at once with a new id."""
+"""Retry advice with ``NOT_RUN``: resubmit at once, under a new id."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Resume:
-    """The submission goes on here: adopt, await or run each task as decided."""
+    """Resume the submission here: adopt, await or run each task as decided."""
 
     decisions_by_index: Mapping[int, TaskDecision]
-    """What to do with each task."""
+    """Decision on each task, by its index."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AnswerCaller:
-    """There is an answer now; ``UNKNOWN`` may improve when more targets answer."""
+    """Answer the caller now; ``UNKNOWN`` may change when more targets answer."""
 
     answer: Answer
-    """The answer."""
+    """Answer to the caller."""
 
 
 SubmissionDecision = Resume | AnswerCaller
-"""Everything that can be decided for a submission."""
+"""Every possible decision on a submission."""
 
 
 def decide_submission(
     *, submission_id: str, decisions: Sequence[TaskDecision], any_begun: bool
 ) -> SubmissionDecision:
-    """Decide a submission of a dead home from the decisions on its tasks.
+    """Decide on a submission of a dead home from the decisions on its tasks.
 
-    A submission of which no target began a task is never run by a successor. Its
-    home may have told the caller ``NOT_RUN`` before it died, without a record, and
-    a resubmission that crossed this answer would make it false. So it ends here as
-    ``NOT_RUN`` too, and its caller comes back with a new id. Once a task began,
-    the home cannot have said so, and the rest may run.
+    A successor never runs a submission of which no target began a task. Its home
+    may have answered ``NOT_RUN`` before it died, without a record, and running a
+    resubmission that crossed this answer would make it false. The successor
+    therefore answers ``NOT_RUN`` too, and the caller resubmits under a new id. Once
+    a task began, the home cannot have answered ``NOT_RUN``, and the remaining tasks
+    may run.
 
-    :param submission_id: the submission.
-    :param decisions: one a task, in order; not empty.
+    :param submission_id: id of the submission.
+    :param decisions: one decision per task, in order; not empty.
     :param any_begun: whether any target reported a run of any task.
     """
-    whole = _decide_whole(submission_id, decisions)
-    if whole is not None:
-        return AnswerCaller(answer=whole)
+    finished = _decide_finished(submission_id, decisions)
+    if finished is not None:
+        return AnswerCaller(answer=finished)
     if not any_begun:
-        return AnswerCaller(answer=_decide_unbegun(submission_id, decisions))
+        return AnswerCaller(answer=_decide_not_begun(submission_id, decisions))
     if any(isinstance(decision, Undetermined) for decision in decisions):
         return AnswerCaller(answer=_unknown(submission_id, decisions))
     return Resume(decisions_by_index=dict(enumerate(decisions)))
@@ -67,12 +68,12 @@
 def decide_without_tasks(
     *, submission_id: str, never_begun: bool, any_begun: bool
 ) -> Answer | None:
-    """Decide what a caller that only collects is told, without the tasks.
+    """Decide on the answer to a caller that only collects and sends no tasks.
 
-    :param never_begun: whether every target that could have begun a task denies
-        it for good.
+    :param never_begun: whether every target that could have begun a task reported
+        that it did not and never will.
     :param any_begun: whether any target reported a run of it.
-    :returns: None if the tasks are needed: the caller has to resubmit them.
+    :returns: the answer; None if the caller has to resubmit the tasks first.
     """
     if any_begun:
         return None
@@ -81,7 +82,7 @@
     return _unknown(submission_id, ())
 
 
-def _decide_whole(
+def _decide_finished(
     submission_id: str, decisions: Sequence[TaskDecision]
 ) -> Answer | None:
     adopted = [one for one in decisions if isinstance(one, Adopt)]
@@ -112,7 +113,7 @@
     )
 
 
-def _decide_unbegun(submission_id: str, decisions: Sequence[TaskDecision]) -> Answer:
+def _decide_not_begun(submission_id: str, decisions: Sequence[TaskDecision]) -> Answer:
     denied = all(
         isinstance(one, RunNow) and one.proof is RunProof.NEVER_BEGUN
         for one in decisions
@@ -138,7 +139,7 @@
     unknown = (one for one in decisions if isinstance(one, Undetermined))
     first = next(unknown, None)
     silent = first.silent_targets if first is not None else ()
-    names = ", ".join(sorted(silent)[:_NAMED_TARGETS]) or "some"
+    names = ", ".join(sorted(silent)[:_MAX_NAMED_TARGETS]) or "some"
     return Answer(
         submission_id=submission_id,
         outcome=Outcome.UNKNOWN,
--- a/src/cassiaturn/recovery/_takeover.py
+++ b/src/cassiaturn/recovery/_takeover.py
@@ -1,9 +1,10 @@
-"""Who succeeds a dead incarnation, and how far its fences are.
+"""Determines the successor of a dead incarnation and tracks its fences.
 
-Load pattern: a host dies, or seems to, and several instances hear of it and get
-resubmissions of its callers at once. One conditional insert makes one of them the
-successor; without it two would each see a task that never began, and run it twice.
-The cost is one write an incarnation, whatever the number of its submissions.
+Load pattern: a host dies, or seems to, and several instances detect it and receive
+resubmissions of its callers at the same time. A conditional insert makes exactly
+one of them the successor; without it, two instances could each find that a task
+never began, and both run it. The cost is one write per incarnation, regardless of
+the number of its submissions.
 """
 
 import random
@@ -19,7 +20,7 @@
     Takeover,
     TakeoverPhase,
     better_run,
-    in_any,
+    targets_in_state,
 )
 from cassiaturn.recovery._reported_run import FenceReport, ReportedRun
 from cassiaturn.recovery._rows import TakeoverRow
@@ -27,14 +28,14 @@
 from cassiaturn.recovery._submission import SubmissionDecision, decide_submission
 
 _TOKEN_BITS = 64
-_OPEN = frozenset({TakeoverPhase.WANTED, TakeoverPhase.INSERTING})
+_UNDECIDED_PHASES = frozenset({TakeoverPhase.WANTED, TakeoverPhase.INSERTING})
 
 
 class TakeoverTable:
     """Takeovers by dead incarnation, with the fences of each.
 
-    The server writes :meth:`rows_due`, sends :meth:`fences_due` and reports what
-    came of both; decisions are asked for whenever something was reported.
+    The server inserts :meth:`rows_due`, sends :meth:`fences_due` and reports the
+    results of both; it requests decisions again after each report.
     """
 
     def __init__(
@@ -46,18 +47,18 @@
         self._takeovers_by_dead: dict[str, Takeover] = {}
         self._target_ids: dict[str, None] = {}
         self._gone_target_ids: set[str] = set()
-        self._over_by_dead: dict[str, float] = {}
+        self._latest_end_by_dead: dict[str, float] = {}
 
     @property
     def takeovers_by_dead(self) -> Mapping[str, Takeover]:
-        """Every row, for reading only."""
+        """Read-only view of every takeover, by dead incarnation."""
         return MappingProxyType(self._takeovers_by_dead)
 
     def observe_targets(self, target_ids: Collection[str]) -> None:
-        """Add targets that any home may have reached, of every failure domain.
+        """Add targets that any home may have reached, in every failure domain.
 
-        A missing one could hold a run that nobody asks about, so name all that
-        are configured or were ever seen, reachable or not.
+        A run at a missing target would go unnoticed, so pass all targets that are
+        configured or were ever seen, reachable or not.
         """
         for target_id in target_ids:
             if target_id in self._target_ids:
@@ -67,17 +68,17 @@
                 takeover.add_target(target_id)
 
     def target_gone(self, target_id: str) -> None:
-        """Report that a target's process ended for good, with all that it ran.
+        """Report that the process of a target ended, and all its runs with it.
 
-        A restarted runner is a new target here: what the old process ran can no
-        longer be told by anybody.
+        A restarted runner is a new target: it cannot report what the old process
+        ran.
         """
         self._gone_target_ids.add(target_id)
         for takeover in self._takeovers_by_dead.values():
             takeover.note_gone(target_id)
 
     def request_takeover(self, dead: str) -> Takeover:
-        """Ask to succeed an incarnation; harmless when it is alive after all.
+        """Request to take over an incarnation; harmless if it is still alive.
 
         :param dead: an incarnation that is suspected or known to have ended.
         """
@@ -99,20 +100,20 @@
         return takeover
 
     def incarnation_ended(self, dead: str, now: float) -> None:
-        """Report that the process of an incarnation has ended, not only its links.
+        """Report that the process of an incarnation ended, not only its links.
 
-        A newer incarnation of the same instance proves it. Only then do start-by
-        times and leases bound its last run.
+        A newer incarnation of the same instance proves this. Only then do start-by
+        times and leases bound the end of its last run.
 
         :param now: monotonic time, in seconds.
         """
-        latest_end_at = now + self._settings.over_after_s
-        self._over_by_dead.setdefault(dead, latest_end_at)
+        latest_end_at = now + self._settings.latest_end_after_s
+        self._latest_end_by_dead.setdefault(dead, latest_end_at)
 
     def rows_due(self) -> Sequence[TakeoverRow]:
-        """Return rows to insert, each only if its key is absent.
+        """Return rows to insert, each on the condition that its key is absent.
 
-        Each is returned once; report its end with :meth:`row_confirmed` or
+        Each is returned once; report the result with :meth:`row_confirmed` or
         :meth:`insert_unanswered`.
         """
         due = []
@@ -123,60 +124,60 @@
         return due
 
     def row_confirmed(self, row: TakeoverRow) -> None:
-        """Report the row that the store holds, ours or another's.
+        """Report the row that the store holds, of this incarnation or another.
 
-        :param row: the row inserted, the one in its place, or one read.
+        :param row: the row that was inserted, found in its place, or read.
         """
         takeover = self.request_takeover(row.dead)
         takeover.row = row
-        # A row with our name is ours, also after a lost answer or when this table
-        # forgot it: no other process has the name of this incarnation.
+        # Incarnations are unique, so a row that names this one is its own, even
+        # after a lost answer or after this table forgot the takeover.
         if row.successor == self._incarnation:
             takeover.phase = TakeoverPhase.FENCING
         else:
             takeover.phase = TakeoverPhase.YIELDED
 
     def insert_unanswered(self, dead: str) -> None:
-        """Report that the store gave no answer: the same insert is tried again."""
+        """Report that the store did not answer; the same insert is retried."""
         takeover = self._takeovers_by_dead.get(dead)
         if takeover is not None and takeover.phase is TakeoverPhase.INSERTING:
             takeover.phase = TakeoverPhase.WANTED
 
     def lineage_of(self, home: str) -> Sequence[str]:
-        """Return a home and its successors, as far as rows are known.
+        """Return a home and its chain of successors, as far as rows are known.
 
-        The last one decides for the home's submissions, while it lives. When it
-        dies too, the one who succeeds it asks the targets about the whole line,
-        since each of the line may have begun tasks.
+        The last one decides on the home's submissions while it is alive. If it
+        dies too, its successor fences every incarnation of the lineage, since each
+        may have begun tasks.
         """
-        line = [home]
+        lineage = [home]
         while True:
-            takeover = self._takeovers_by_dead.get(line[-1])
-            if takeover is None or takeover.phase in _OPEN:
-                return line
-            if takeover.row.successor in line:
-                return line
-            line.append(takeover.row.successor)
+            takeover = self._takeovers_by_dead.get(lineage[-1])
+            if takeover is None or takeover.phase in _UNDECIDED_PHASES:
+                return lineage
+            if takeover.row.successor in lineage:
+                return lineage
+            lineage.append(takeover.row.successor)
 
     def successor_of(self, home: str) -> str | None:
-        """Return the incarnation that decides in a home's place, if known."""
-        line = self.lineage_of(home)
-        return line[-1] if len(line) > 1 else None
+        """Return the incarnation that decides instead of a home, if known."""
+        lineage = self.lineage_of(home)
+        return lineage[-1] if len(lineage) > 1 else None
 
     def fence_lineage(self, home: str) -> None:
-        """Fence every earlier home of a line whose last member is this one.
+        """Fence every earlier home of a lineage that ends with this incarnation.
 
-        Needed after succeeding a successor: the row of the first home names the
-        dead one, yet its targets' reports are needed here.
+        Needed after taking over from a successor: the row of the first home names
+        that dead successor, but this incarnation needs the reports about both.
         """
-        line = self.lineage_of(home)
-        if line[-1] != self._incarnation:
+        lineage = self.lineage_of(home)
+        if lineage[-1] != self._incarnation:
             return
-        for dead in line[:-1]:
+        for dead in lineage[:-1]:
             self._takeovers_by_dead[dead].phase = TakeoverPhase.FENCING
 
     def fences_due(self, now: float) -> Sequence[FenceDue]:
-        """Return fences to send now; each is in flight until reported.
+        """Return fences to send now; each is in flight until its result is reported.
 
         :param now: monotonic time, in seconds.
         """
@@ -186,21 +187,21 @@
             if takeover.phase is not TakeoverPhase.FENCING:
                 continue
             for target_id in takeover.targets_due(now):
-                takeover.asked_by_target.add(target_id)
+                takeover.fences_in_flight.add(target_id)
                 due.append(FenceDue(dead=dead, target_id=target_id))
         return due
 
     def fenced(self, dead: str, report: FenceReport, now: float) -> None:
-        """Report a target's answer to a fence.
+        """Report a target's reply to a fence.
 
         :param now: monotonic time, in seconds.
         """
         takeover = self._takeovers_by_dead.get(dead)
         if takeover is None:
             return
-        takeover.asked_by_target.discard(report.target_id)
+        takeover.fences_in_flight.discard(report.target_id)
         takeover.note_report(report)
-        takeover.ask_again_at_by_target[report.target_id] = (
+        takeover.next_fence_at_by_target[report.target_id] = (
             now + self._settings.poll_running_s
         )
 
@@ -212,13 +213,13 @@
         takeover = self._takeovers_by_dead.get(dead)
         if takeover is None:
             return
-        takeover.asked_by_target.discard(target_id)
-        takeover.ask_again_at_by_target[target_id] = now + self._settings.fence_retry_s
+        takeover.fences_in_flight.discard(target_id)
+        takeover.next_fence_at_by_target[target_id] = now + self._settings.fence_retry_s
 
     def decide(
         self, *, key: TaskKey, home: str, repeatable: bool, now: float
     ) -> TaskDecision:
-        """Decide one task by every home of its line.
+        """Decide on one task from the reports about every home of its lineage.
 
         :param home: incarnation that its ticket or claim names.
         :param now: monotonic time, in seconds.
@@ -234,7 +235,7 @@
         repeatable: bool,
         now: float,
     ) -> SubmissionDecision:
-        """Decide a submission of a home that this incarnation succeeds.
+        """Decide on a submission of a home that this incarnation has taken over.
 
         :param home: incarnation that its ticket or claim names.
         :param now: monotonic time, in seconds.
@@ -244,33 +245,33 @@
         return decide_submission(
             submission_id=submission_id,
             decisions=[self._decide_in(view, key, repeatable) for key in keys],
-            any_begun=any(_run_of(view.line, key) is not None for key in keys),
+            any_begun=any(_run_of(view.lineage, key) is not None for key in keys),
         )
 
     def _view(self, home: str, now: float) -> "_View":
-        line = self._dead_line(home)
-        for takeover in line:
+        lineage = self._lineage_takeovers(home)
+        for takeover in lineage:
             takeover.used_at = now
-        overs = [self._over_by_dead.get(takeover.row.dead) for takeover in line]
-        known = [over for over in overs if over is not None]
+        ends = [self._latest_end_by_dead.get(takeover.row.dead) for takeover in lineage]
+        known = [end for end in ends if end is not None]
         return _View(
-            line=line,
-            fenced=in_any(line, FenceState.FENCED),
-            unfenced=in_any(line, FenceState.DUE),
-            gone=in_any(line, FenceState.GONE),
-            forgetful=in_any(line, FenceState.FORGETFUL),
-            latest_end_at=max(known) if known and len(known) == len(overs) else None,
+            lineage=lineage,
+            fenced=targets_in_state(lineage, FenceState.FENCED),
+            unfenced=targets_in_state(lineage, FenceState.DUE),
+            gone=targets_in_state(lineage, FenceState.GONE),
+            forgetful=targets_in_state(lineage, FenceState.FORGETFUL),
+            latest_end_at=max(known) if known and len(known) == len(ends) else None,
             now=now,
         )
 
     def _decide_in(self, view: "_View", key: TaskKey, repeatable: bool) -> TaskDecision:
-        # Without the row another successor may decide too; without any target
-        # nothing denies a run.
-        if not self._target_ids or not _decides(view.line):
+        # Without a confirmed row another successor may decide too; without targets
+        # no report excludes a run.
+        if not self._target_ids or not _is_successor(view.lineage):
             return Undetermined(silent_targets=())
         return decide_task(
             repeatable=repeatable,
-            begun=_run_of(view.line, key),
+            begun=_run_of(view.lineage, key),
             fenced_targets=view.fenced,
             unfenced_targets=view.unfenced,
             gone_targets=view.gone,
@@ -280,16 +281,16 @@
         )
 
     def _expire(self, now: float) -> None:
-        # 300 hosts are replaced on an ordinary day, and each row lists every
-        # target: kept for good they would grow past the memory of a host. A
-        # forgotten one starts anew from its row in the store.
+        # 300 hosts are replaced on an ordinary day, and each takeover lists every
+        # target: without expiry they would outgrow the memory of a host. An expired
+        # one is restarted from its row in the store.
         for dead, takeover in list(self._takeovers_by_dead.items()):
             if takeover.used_at is None:
                 takeover.used_at = now
             elif now - takeover.used_at >= self._settings.keep_s:
                 del self._takeovers_by_dead[dead]
 
-    def _dead_line(self, home: str) -> Sequence[Takeover]:
+    def _lineage_takeovers(self, home: str) -> Sequence[Takeover]:
         return [
             self._takeovers_by_dead[dead]
             for dead in self.lineage_of(home)
@@ -299,38 +300,39 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _View:
-    """What targets told of a line of dead homes, for one round of decisions."""
+    """Reports of targets about a lineage of dead homes, for one round of decisions."""
 
-    line: Sequence[Takeover]
-    """Takeovers, the first home's first."""
+    lineage: Sequence[Takeover]
+    """Takeovers in order of succession."""
 
     fenced: Collection[str]
-    """Targets that told everything."""
+    """Targets that are fenced and reported every run."""
 
     unfenced: Collection[str]
-    """Targets that did not answer."""
+    """Targets that did not answer a fence."""
 
     gone: Collection[str]
-    """Targets that ended."""
+    """Targets whose process ended."""
 
     forgetful: Collection[str]
-    """Targets that forgot runs."""
+    """Targets that are fenced but forgot runs."""
 
     latest_end_at: float | None
-    """Time by which no run of the line goes on, if known."""
+    """Monotonic time by which every run of the lineage must have ended, in seconds;
+    None if unknown."""
 
     now: float
     """Monotonic time, in seconds."""
 
 
-def _decides(line: Sequence[Takeover]) -> bool:
-    if not line:
+def _is_successor(lineage: Sequence[Takeover]) -> bool:
+    if not lineage:
         return False
-    return all(takeover.phase is TakeoverPhase.FENCING for takeover in line)
+    return all(takeover.phase is TakeoverPhase.FENCING for takeover in lineage)
 
 
-def _run_of(line: Sequence[Takeover], key: TaskKey) -> ReportedRun | None:
+def _run_of(lineage: Sequence[Takeover], key: TaskKey) -> ReportedRun | None:
     best: ReportedRun | None = None
-    for takeover in line:
+    for takeover in lineage:
         best = better_run(best, takeover.runs_by_key.get(key))
     return best
--- a/src/cassiaturn/recovery/tests/test_decision.py
+++ b/src/cassiaturn/recovery/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""Each line of the truth table, and what becomes of a whole submission."""
+"""Tests of each row of the truth table and of decisions on submissions."""
 
 import pytest
 
@@ -22,60 +22,66 @@
 )
 
 NOW = 100.0
-FORGOT = {"fenced": {"a"}, "forgetful": {"b"}}
-GONE = {"fenced": {"a"}, "gone": {"b"}}
-SILENT = {"fenced": {"a"}, "unfenced": {"b"}}
-ALL = {"fenced": {"a", "b"}}
+FORGETFUL_B = {"fenced": {"a"}, "forgetful": {"b"}}
+GONE_B = {"fenced": {"a"}, "gone": {"b"}}
+SILENT_B = {"fenced": {"a"}, "unfenced": {"b"}}
+ALL_FENCED = {"fenced": {"a", "b"}}
 
-NEVER = RunNow(proof=RunProof.NEVER_BEGUN)
-AGAIN = RunNow(proof=RunProof.EARLIER_RUN_OVER)
-LAPSED_FAILS = FailTask(ran=Ran.SOME, reason=Reason.TARGET_LOST)
-UNHEARD = Undetermined(silent_targets={"b"})
+RUN_NEVER_BEGUN = RunNow(proof=RunProof.NEVER_BEGUN)
+RUN_AGAIN = RunNow(proof=RunProof.EARLIER_RUN_OVER)
+FAIL_LAPSED = FailTask(ran=Ran.SOME, reason=Reason.TARGET_LOST)
+UNDETERMINED = Undetermined(silent_targets={"b"})
 
 
-def run(status: RunStatus, target_id: str = "a") -> ReportedRun:
+def run_at(status: RunStatus, target_id: str = "a") -> ReportedRun:
     return ReportedRun(target_id=target_id, status=status, result=b"r")
 
 
-DONE = run(RunStatus.DONE)
-RUNNING = run(RunStatus.RUNNING)
-ELSEWHERE = run(RunStatus.RUNNING, "b")
-LAPSED = run(RunStatus.LEASE_LAPSED)
+DONE = run_at(RunStatus.DONE)
+RUNNING = run_at(RunStatus.RUNNING)
+RUNNING_AT_B = run_at(RunStatus.RUNNING, "b")
+LAPSED = run_at(RunStatus.LEASE_LAPSED)
 FAILED = FailTask(ran=Ran.EVERYTHING, reason=Reason.TASK_FAILED)
 CANCELLED = FailTask(ran=Ran.SOME, reason=Reason.CANCELLED)
 
 DROPPED = ReportedRun(target_id="a", status=RunStatus.DONE, result_dropped=True)
-"""Acknowledged by its home: an empty result is left, which is no reply."""
-
-LINES = [
-    (DROPPED, ALL, None, Undetermined(silent_targets=()), None),
-    (DONE, SILENT, None, Adopt(begun=DONE), Adopt(begun=DONE)),
-    (run(RunStatus.FAILED), ALL, None, FAILED, FAILED),
-    (run(RunStatus.CANCELLED), ALL, None, CANCELLED, CANCELLED),
-    (RUNNING, SILENT, None, AwaitRunning(begun=RUNNING), AwaitRunning(begun=RUNNING)),
-    (ELSEWHERE, FORGOT, None, AwaitRunning(begun=ELSEWHERE), None),
-    (ELSEWHERE, GONE, None, AGAIN, UNHEARD),
-    (LAPSED, ALL, None, AGAIN, LAPSED_FAILS),
-    (LAPSED, SILENT, None, UNHEARD, LAPSED_FAILS),
-    (LAPSED, SILENT, 107.0, RunAfter(at=107.0), LAPSED_FAILS),
-    (None, SILENT, None, UNHEARD, UNHEARD),
-    (None, SILENT, 107.0, RunAfter(at=107.0), UNHEARD),
-    (None, SILENT, NOW, AGAIN, UNHEARD),
-    (None, FORGOT, None, AGAIN, UNHEARD),
-    (None, GONE, None, AGAIN, UNHEARD),
-    (None, ALL, None, NEVER, NEVER),
+"""Result acknowledged by its home; the empty one that is left is not a reply."""
+
+TRUTH_TABLE = [
+    (DROPPED, ALL_FENCED, None, Undetermined(silent_targets=()), None),
+    (DONE, SILENT_B, None, Adopt(begun=DONE), Adopt(begun=DONE)),
+    (run_at(RunStatus.FAILED), ALL_FENCED, None, FAILED, FAILED),
+    (run_at(RunStatus.CANCELLED), ALL_FENCED, None, CANCELLED, CANCELLED),
+    (RUNNING, SILENT_B, None, AwaitRunning(begun=RUNNING), AwaitRunning(begun=RUNNING)),
+    (RUNNING_AT_B, FORGETFUL_B, None, AwaitRunning(begun=RUNNING_AT_B), None),
+    (RUNNING_AT_B, GONE_B, None, RUN_AGAIN, UNDETERMINED),
+    (LAPSED, ALL_FENCED, None, RUN_AGAIN, FAIL_LAPSED),
+    (LAPSED, SILENT_B, None, UNDETERMINED, FAIL_LAPSED),
+    (LAPSED, SILENT_B, 107.0, RunAfter(at=107.0), FAIL_LAPSED),
+    (None, SILENT_B, None, UNDETERMINED, UNDETERMINED),
+    (None, SILENT_B, 107.0, RunAfter(at=107.0), UNDETERMINED),
+    (None, SILENT_B, NOW, RUN_AGAIN, UNDETERMINED),
+    (None, FORGETFUL_B, None, RUN_AGAIN, UNDETERMINED),
+    (None, GONE_B, None, RUN_AGAIN, UNDETERMINED),
+    (None, ALL_FENCED, None, RUN_NEVER_BEGUN, RUN_NEVER_BEGUN),
 ]
 
 
-@pytest.mark.parametrize(("begun", "targets", "latest_end_at", "can", "cannot"), LINES)
+@pytest.mark.parametrize(
+    ("begun", "targets", "latest_end_at", "if_repeatable", "if_not_repeatable"),
+    TRUTH_TABLE,
+)
 def test_truth_table(
     begun: ReportedRun | None,
     targets: dict[str, set[str]],
     latest_end_at: float | None,
-    can: TaskDecision,
-    cannot: TaskDecision | None,
+    if_repeatable: TaskDecision,
+    if_not_repeatable: TaskDecision | None,
 ) -> None:
-    for repeatable, expected in ((True, can), (False, cannot or can)):
+    for repeatable, expected in (
+        (True, if_repeatable),
+        (False, if_not_repeatable or if_repeatable),
+    ):
         decision = decide_task(
             repeatable=repeatable,
             begun=begun,
@@ -90,7 +96,9 @@
         assert decision == expected
 
 
-def tell(decisions: list[TaskDecision], *, any_begun: bool) -> tuple[Outcome, Ran]:
+def answer_for(
+    decisions: list[TaskDecision], *, any_begun: bool
+) -> tuple[Outcome, Ran]:
     decision = decide_submission(
         submission_id="s", decisions=decisions, any_begun=any_begun
     )
@@ -102,24 +110,24 @@
     ("decisions", "any_begun", "outcome", "ran"),
     [
         ([Adopt(begun=DONE)] * 2, True, Outcome.COMPLETE, Ran.UNSPECIFIED),
-        ([NEVER, NEVER], False, Outcome.NOT_RUN, Ran.NOTHING),
-        ([AGAIN, AGAIN], False, Outcome.UNKNOWN, Ran.MAYBE),
-        ([UNHEARD, NEVER], False, Outcome.UNKNOWN, Ran.MAYBE),
-        ([UNHEARD, Adopt(begun=DONE)], True, Outcome.UNKNOWN, Ran.MAYBE),
-        ([LAPSED_FAILS, NEVER], True, Outcome.FAILED, Ran.SOME),
+        ([RUN_NEVER_BEGUN, RUN_NEVER_BEGUN], False, Outcome.NOT_RUN, Ran.NOTHING),
+        ([RUN_AGAIN, RUN_AGAIN], False, Outcome.UNKNOWN, Ran.MAYBE),
+        ([UNDETERMINED, RUN_NEVER_BEGUN], False, Outcome.UNKNOWN, Ran.MAYBE),
+        ([UNDETERMINED, Adopt(begun=DONE)], True, Outcome.UNKNOWN, Ran.MAYBE),
+        ([FAIL_LAPSED, RUN_NEVER_BEGUN], True, Outcome.FAILED, Ran.SOME),
         ([FAILED, Adopt(begun=DONE)], True, Outcome.FAILED, Ran.EVERYTHING),
     ],
 )
-def test_a_submission_that_is_answered_at_once(
+def test_submission_is_answered_at_once(
     decisions: list[TaskDecision], any_begun: bool, outcome: Outcome, ran: Ran
 ) -> None:
-    assert tell(decisions, any_begun=any_begun) == (outcome, ran)
+    assert answer_for(decisions, any_begun=any_begun) == (outcome, ran)
 
 
-def test_a_begun_submission_goes_on() -> None:
+def test_begun_submission_resumes() -> None:
     decisions: list[TaskDecision] = [
         Adopt(begun=DONE),
-        NEVER,
+        RUN_NEVER_BEGUN,
         AwaitRunning(begun=RUNNING),
     ]
 
@@ -136,7 +144,7 @@
         (False, True, None),
     ],
 )
-def test_a_caller_that_collects_brings_no_tasks(
+def test_decide_without_tasks(
     never_begun: bool, any_begun: bool, outcome: Outcome | None
 ) -> None:
     answer = decide_without_tasks(
--- a/src/cassiaturn/recovery/tests/test_takeover.py
+++ b/src/cassiaturn/recovery/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Successors: one an incarnation, with the word of every target."""
+"""Tests of takeovers, fences and pauses of a home."""
 
 import random
 
@@ -27,7 +27,7 @@
 SETTINGS = RecoverySettings()
 
 
-def takeovers(
+def make_table(
     incarnation: str = ME, targets: tuple[str, ...] = ("a", "b")
 ) -> TakeoverTable:
     table = TakeoverTable(
@@ -39,13 +39,13 @@
     return table
 
 
-def win(table: TakeoverTable, dead: str) -> None:
+def become_successor(table: TakeoverTable, dead: str) -> None:
     table.request_takeover(dead)
     for row in table.rows_due():
         table.row_confirmed(row)
 
 
-def report(
+def report_fence(
     table: TakeoverTable,
     target_id: str,
     *begun: tuple[TaskKey, RunStatus],
@@ -80,12 +80,13 @@
 KEYS = [TaskKey("s", 0), TaskKey("s", 1)]
 
 
-def test_one_successor_decides() -> None:
-    """
-    Two instances hear of a death at once and insert the row. The loser learns the
-    winner from the row in its place and forwards there.
+def test_concurrent_takeovers_have_one_successor() -> None:
+    """Guards against two successors of one home.
+
+    Two instances detect its death at the same time and insert the takeover row. The
+    one whose insert fails learns the successor from the stored row.
     """
-    mine, theirs = takeovers(ME), takeovers(OTHER)
+    mine, theirs = make_table(ME), make_table(OTHER)
     mine.request_takeover(DEAD)
     theirs.request_takeover(DEAD)
     (row,) = theirs.rows_due()
@@ -101,8 +102,9 @@
     assert outcome(decide(mine)) is Outcome.UNKNOWN
 
 
-def test_a_lost_answer_is_settled_by_the_token() -> None:
-    table = takeovers()
+def test_unanswered_insert_is_retried_with_the_same_row() -> None:
+    """Guards against losing a takeover whose insert succeeded but was not answered."""
+    table = make_table()
     table.request_takeover(DEAD)
     (row,) = table.rows_due()
     table.insert_unanswered(DEAD)
@@ -112,16 +114,17 @@
     assert table.takeovers_by_dead[DEAD].phase is TakeoverPhase.FENCING
 
 
-def test_a_forgotten_takeover_starts_anew_from_its_row() -> None:
-    """
-    Nobody asked about a dead home for a quarter of an hour, and its takeover was
-    forgotten. A late resubmission finds our own row in the store; every target is
-    asked again before anything is said.
+def test_expired_takeover_restarts_from_the_stored_row() -> None:
+    """Guards against decisions without reports after a takeover expired.
+
+    A takeover is unused for a quarter of an hour and expires. A late resubmission
+    finds the row of this incarnation in the store; every target must be fenced
+    again before anything is decided.
     """
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a")
-    report(table, "b")
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a")
+    report_fence(table, "b")
     row = table.takeovers_by_dead[DEAD].row
     assert outcome(decide(table, now=1.0)) is Outcome.NOT_RUN
     table.fences_due(SETTINGS.keep_s + 1.0)
@@ -135,39 +138,41 @@
     assert len(table.fences_due(2000.0)) == 2
 
 
-def test_nothing_is_decided_before_the_row_or_without_targets() -> None:
-    no_row, no_targets = takeovers(), takeovers(targets=())
+def test_outcome_is_unknown_without_confirmed_row_or_targets() -> None:
+    """Guards against decisions before the row is confirmed or targets are known."""
+    no_row, no_targets = make_table(), make_table(targets=())
     no_row.request_takeover(DEAD)
-    win(no_targets, DEAD)
+    become_successor(no_targets, DEAD)
 
     assert outcome(decide(no_row)) is Outcome.UNKNOWN
     assert outcome(decide(no_targets)) is Outcome.UNKNOWN
 
 
-def test_queued_work_ends_as_not_run() -> None:
-    """
-    A home dies with a job queued. Its caller, who may have been told "not run" by
-    it just before, submits again elsewhere. Once every target denied the job, the
-    successor says "not run" as well; before that, it cannot say.
+def test_submission_denied_by_all_targets_is_not_run() -> None:
+    """Guards against running a job that the dead home reported as not run.
+
+    A home dies with a job queued, perhaps after it answered ``NOT_RUN``, and the
+    caller resubmits it elsewhere. The successor answers ``UNKNOWN`` until every
+    target reported that it did not begin the job, and ``NOT_RUN`` from then on.
     """
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a")
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a")
     assert outcome(decide(table)) is Outcome.UNKNOWN
-    report(table, "b")
+    report_fence(table, "b")
 
     assert outcome(decide(table)) is Outcome.NOT_RUN
 
 
-def test_begun_work_goes_on() -> None:
-    """
-    A home dies with one task done and one not started. The successor takes the
-    result and runs the other, which every target denies.
+def test_begun_submission_is_resumed() -> None:
+    """Guards against losing a job of which one task is done when its home dies.
+
+    The successor adopts that result and runs the other task, which no target began.
     """
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a", (KEYS[0], RunStatus.DONE))
-    report(table, "b")
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a", (KEYS[0], RunStatus.DONE))
+    report_fence(table, "b")
 
     decision = decide(table)
 
@@ -175,29 +180,31 @@
     assert isinstance(decision.decisions_by_index[1], RunNow)
 
 
-def test_a_restarted_runner_proves_nothing() -> None:
-    """
-    One target was restarted, or forgot what was collected. The task that nobody
-    else began may have run there: an order must not be shipped again.
+def test_forgetful_target_cannot_deny_a_run() -> None:
+    """Guards against a second run of a non-repeatable task that a target forgot.
+
+    One target was restarted, or dropped runs whose results were collected. A task
+    that no other target began may have run there.
     """
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a", (KEYS[0], RunStatus.DONE))
-    report(table, "b", exhaustive=False)
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a", (KEYS[0], RunStatus.DONE))
+    report_fence(table, "b", exhaustive=False)
 
     assert outcome(decide(table)) is Outcome.UNKNOWN
     assert isinstance(decide(table, repeatable=True), Resume)
 
 
-def test_an_unreachable_target_is_asked_again() -> None:
-    """
-    A failure domain is cut off with one target. Callers hear "unknown"; a
-    repeatable task runs when its lease there must be over, if the home is known to
-    be dead. After the cut heals the truth is told.
+def test_unreachable_target_is_fenced_again() -> None:
+    """Guards against a wrong outcome while a target is partitioned.
+
+    A network partition isolates a failure domain with one target. The outcome is
+    unknown; a repeatable task runs once its lease there must have expired, if the
+    home is known to be dead. After the partition heals the outcome is complete.
     """
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a", (KEYS[0], RunStatus.DONE))
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a", (KEYS[0], RunStatus.DONE))
     table.fence_failed(DEAD, "b", 0.0)
     assert table.fences_due(0.1) == []
     assert outcome(decide(table)) is Outcome.UNKNOWN
@@ -205,32 +212,34 @@
     assert outcome(decide(table)) is Outcome.UNKNOWN
     repeated = decide(table, repeatable=True)
     assert isinstance(repeated, Resume)
-    after = RunAfter(at=SETTINGS.over_after_s)
+    after = RunAfter(at=SETTINGS.latest_end_after_s)
     assert repeated.decisions_by_index[1] == after
 
-    report(table, "b", (KEYS[1], RunStatus.DONE), now=SETTINGS.fence_retry_s)
+    report_fence(table, "b", (KEYS[1], RunStatus.DONE), now=SETTINGS.fence_retry_s)
 
     assert outcome(decide(table)) is Outcome.COMPLETE
 
 
-def test_a_running_task_is_polled_until_it_ends() -> None:
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a", *((key, RunStatus.RUNNING) for key in KEYS))
-    report(table, "b")
+def test_running_task_is_polled_until_it_ends() -> None:
+    """Guards against never collecting the result of a run that outlives its home."""
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a", *((key, RunStatus.RUNNING) for key in KEYS))
+    report_fence(table, "b")
     assert isinstance(decide(table), Resume)
     assert table.fences_due(0.1) == []
 
-    report(table, "a", *((key, RunStatus.DONE) for key in KEYS), now=1.0)
+    report_fence(table, "a", *((key, RunStatus.DONE) for key in KEYS), now=1.0)
 
     assert outcome(decide(table)) is Outcome.COMPLETE
     assert table.fences_due(9.0) == []
 
 
-def test_a_gone_target_leaves_an_order_unknown() -> None:
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a", (KEYS[0], RunStatus.DONE))
+def test_gone_target_leaves_non_repeatable_job_unknown() -> None:
+    """Guards against a second run of a task that an ended target may have run."""
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a", (KEYS[0], RunStatus.DONE))
     table.target_gone("b")
     table.observe_targets(("b",))
 
@@ -239,46 +248,49 @@
     assert table.fences_due(9.0) == []
 
 
-def test_a_target_that_appears_must_answer_too() -> None:
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a")
-    report(table, "b")
+def test_new_target_is_fenced_too() -> None:
+    """Guards against missing a run at a target that is discovered after the fences."""
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a")
+    report_fence(table, "b")
     table.observe_targets(("c",))
 
     assert outcome(decide(table)) is Outcome.UNKNOWN
     assert [due.target_id for due in table.fences_due(1.0)] == ["c"]
 
 
-def test_the_successor_dies_too() -> None:
-    """
-    A home dies, its successor runs one task more and dies as well. The next one
-    asks every target about both, so that it repeats nothing of either.
+def test_successor_of_a_dead_successor_fences_both_homes() -> None:
+    """Guards against repeating a task that a dead successor ran.
+
+    A home dies, and its successor runs one more task and dies as well. The next
+    successor must fence every target for both.
     """
-    first, second = takeovers(OTHER), takeovers(ME)
+    first, second = make_table(OTHER), make_table(ME)
     first.request_takeover(DEAD)
     (row,) = first.rows_due()
     second.request_takeover(DEAD)
     second.rows_due()
     second.row_confirmed(row)
-    win(second, OTHER)
+    become_successor(second, OTHER)
     second.fence_lineage(DEAD)
     assert second.lineage_of(DEAD) == [DEAD, OTHER, ME]
     for dead in (DEAD, OTHER):
-        report(second, "b", dead=dead)
-    report(second, "a", (KEYS[0], RunStatus.DONE), dead=DEAD)
+        report_fence(second, "b", dead=dead)
+    report_fence(second, "a", (KEYS[0], RunStatus.DONE), dead=DEAD)
     assert outcome(decide(second)) is Outcome.UNKNOWN
 
-    report(second, "a", (KEYS[1], RunStatus.DONE), dead=OTHER)
+    report_fence(second, "a", (KEYS[1], RunStatus.DONE), dead=OTHER)
 
     assert outcome(decide(second)) is Outcome.COMPLETE
 
 
-def test_a_lapsed_order_is_failed_not_repeated() -> None:
-    table = takeovers()
-    win(table, DEAD)
-    report(table, "a", (KEYS[0], RunStatus.LEASE_LAPSED))
-    report(table, "b")
+def test_expired_lease_fails_non_repeatable_task() -> None:
+    """Guards against a second run of a non-repeatable task whose lease expired."""
+    table = make_table()
+    become_successor(table, DEAD)
+    report_fence(table, "a", (KEYS[0], RunStatus.LEASE_LAPSED))
+    report_fence(table, "b")
 
     decision = decide(table)
 
@@ -290,12 +302,13 @@
 @pytest.mark.parametrize(
     ("present", "state"), [(False, HoldState.FREE), (True, HoldState.SUPERSEDED)]
 )
-def test_a_paused_home_holds_until_its_row_is_read(
+def test_paused_home_holds_starts_until_its_row_is_read(
     present: bool, state: HoldState
 ) -> None:
-    """
-    A process stands still past the suspicion timeout and wakes with starts queued.
-    It sends none before it knows whether it has a successor.
+    """Guards against starts sent by a home that was taken over during a pause.
+
+    A process is paused for longer than the suspicion timeout and resumes with
+    queued starts. It must hold them until it knows whether it has a successor.
     """
     pauses = PauseDetector(suspicion_timeout_s=2.5)
     for tick in range(10):
@@ -308,7 +321,8 @@
     assert pauses.tick(99.0) is (HoldState.HELD if not present else state)
 
 
-def test_a_paused_home_goes_on_while_the_store_is_down() -> None:
+def test_paused_home_resumes_while_store_is_unreachable() -> None:
+    """Guards against holding starts for as long as the store is unreachable."""
     pauses = PauseDetector(suspicion_timeout_s=2.5)
     pauses.tick(0.0)
     pauses.tick(9.0)
