--- a/src/cassiaturn/engine/_intake.py
+++ b/src/cassiaturn/engine/_intake.py
@@ -34,7 +34,7 @@
         fingerprint=fingerprint(submission),
         tasks_total=len(submission.payloads),
         now=now,
-        succeeded=submission.resumed,
+        adopted=submission.resumed,
         owner=submission.tenant,
     )
     match opening:
--- a/src/cassiaturn/membership/_settings.py
+++ b/src/cassiaturn/membership/_settings.py
@@ -38,5 +38,5 @@
     near_links: int = 4
     """Neighbours in the own failure domain; even."""
 
-    max_rumours: int = 4
+    max_suspicions: int = 4
     """Suspected incarnations named in one heartbeat."""
--- a/src/cassiaturn/membership/_table.py
+++ b/src/cassiaturn/membership/_table.py
@@ -265,11 +265,11 @@
             row.owes_answer = False
             self._circle.review()
 
-    def refuted(self) -> None:
+    def heartbeats_sent(self) -> None:
         """Note that heartbeats went to every neighbour after a rumour of us."""
         self._urgent = False
 
-    def rumours(self) -> Sequence[str]:
+    def suspicions(self) -> Sequence[str]:
         """Return incarnations to name as suspected: those under probe here.
 
         A rumour is passed on at once, so that it crosses a failure domain within
@@ -277,7 +277,7 @@
         no more once that one is heard; so it dies out.
         """
         asked = asked_incarnations(self._members_by_id.values())
-        return asked[: self._settings.max_rumours]
+        return asked[: self._settings.max_suspicions]
 
     def live(self, failure_domain: str) -> Sequence[str]:
         """Return instances that may hold targets of a failure domain, sorted.
--- a/src/cassiaturn/membership/tests/test_table.py
+++ b/src/cassiaturn/membership/tests/test_table.py
@@ -267,7 +267,7 @@
     table.observe(facts("a2", suspected=(facts("a1").incarnation,)), 0.1)
 
     assert table.heartbeat_due("a2", 0.1)
-    table.refuted()
+    table.heartbeats_sent()
     assert not table.heartbeat_due("a2", 0.1)
 
 
@@ -308,11 +308,11 @@
     table = members()
     table.observe(facts("a2"), 0.0)
     run(table, 0.0, 3.0)
-    assert table.rumours() == [facts("a2").incarnation]
+    assert table.suspicions() == [facts("a2").incarnation]
 
     run(table, 3.1, 4.5)
 
-    assert table.rumours() == []
+    assert table.suspicions() == []
 
 
 def test_a_gone_member_is_forgotten_in_the_end() -> None:
--- a/src/cassiaturn/model/_costs.py
+++ b/src/cassiaturn/model/_costs.py
@@ -125,7 +125,7 @@
         for _ in range(_arrivals(rng, jobs_per_s * _TICK_S)):
             name = f"order-{len(wanted_at)}"
             wanted_at[name] = now
-            undetermined += ledger.want(name, now) is not None
+            undetermined += ledger.request(name, now) is not None
         if in_flight is not None and now >= answer_at:
             ledger.committed(in_flight)
             in_flight = None
--- a/src/cassiaturn/model/_fleet.py
+++ b/src/cassiaturn/model/_fleet.py
@@ -69,7 +69,7 @@
             incarnation=facts.incarnation,
             failure_domain=facts.failure_domain,
             state=facts.state,
-            suspected=table.rumours(),
+            suspected=table.suspicions(),
         )
         due = [one for one in table.neighbours() if table.heartbeat_due(one, self.now)]
         for receiver_id in due:
@@ -77,7 +77,7 @@
             table.sent(receiver_id, self.now)
             if not self._is_lost(sender_id, receiver_id):
                 self.tables_by_id[receiver_id].observe(beat, self.now)
-        table.refuted()
+        table.heartbeats_sent()
 
     def _is_lost(self, sender_id: str, receiver_id: str) -> bool:
         if receiver_id in self.down:
--- a/src/cassiaturn/model/_process.py
+++ b/src/cassiaturn/model/_process.py
@@ -30,8 +30,8 @@
     TellCaller,
 )
 from cassiaturn.submission import (
+    ClaimGranted,
     ClaimLedger,
-    ClaimMine,
     ClaimSettings,
     ClaimTaken,
     Expired,
@@ -116,14 +116,14 @@
                 self._route(Held(request=request, home=home))
             case _:
                 self._claiming_by_id[submission_id] = request
-                self.ledger.want(submission_id, now)
+                self.ledger.request(submission_id, now)
 
     def take_claims(self, now: float) -> None:
         """Act on claims that were settled."""
         for resolution in self.ledger.resolved():
             request = self._claiming_by_id.pop(resolution.submission_id)
             match resolution:
-                case ClaimMine():
+                case ClaimGranted():
                     self._open(request, now, succeeded=False)
                 case ClaimTaken(home=home) if home != self.incarnation:
                     self._route(Held(request=request, home=home))
@@ -258,7 +258,7 @@
             fingerprint=request.fingerprint,
             tasks_total=request.tasks,
             now=now,
-            succeeded=succeeded,
+            adopted=succeeded,
         )
         match opening:
             case Opened():
--- a/src/cassiaturn/model/_store_calls.py
+++ b/src/cassiaturn/model/_store_calls.py
@@ -18,12 +18,12 @@
             case Reply.CONFLICT:
                 ledger.conflicted(batch, store.found(batch))
             case Reply.LOST:
-                ledger.lost(batch, now)
+                ledger.answer_lost(batch, now)
     lost = ledger.next_reread(now)
     if lost is not None:
         rows_by_id = store.claims_of(lost)
         if rows_by_id is None:
-            ledger.lost(lost, now)
+            ledger.answer_lost(lost, now)
         else:
             ledger.reread(lost, rows_by_id)
     process.take_claims(now)
--- a/src/cassiaturn/server/_claims.py
+++ b/src/cassiaturn/server/_claims.py
@@ -82,7 +82,7 @@
             return ClaimUndetermined(submission_id=submission_id)
         future = self._futures_by_id.get(submission_id)
         if future is None:
-            resolution = self._ledger.want(submission_id, time.monotonic())
+            resolution = self._ledger.request(submission_id, time.monotonic())
             if resolution is not None:
                 return resolution
             future = asyncio.get_running_loop().create_future()
@@ -187,7 +187,7 @@
                 # Whatever the error says, the rows may have been written: a
                 # refusal taken at its word could leave a claim that nobody owns.
                 self._budget.failed(now)
-                self._ledger.lost(batch, now)
+                self._ledger.answer_lost(batch, now)
 
     async def _reread(self, batch: ClaimBatch) -> None:
         assert self._table is not None
@@ -199,7 +199,7 @@
                 self._ledger.reread(batch, claims_of(rows_by_key.values()))
             case _:
                 self._budget.failed(now)
-                self._ledger.lost(batch, now)
+                self._ledger.answer_lost(batch, now)
 
 
 def wall_ms() -> int:
--- a/src/cassiaturn/server/_homes.py
+++ b/src/cassiaturn/server/_homes.py
@@ -13,7 +13,7 @@
 from cassiaturn.server._successor import Successor
 from cassiaturn.submission import (
     MAX_SUBMISSION_ID_LENGTH,
-    ClaimMine,
+    ClaimGranted,
     ClaimTaken,
     ClaimUndetermined,
     MalformedTicket,
@@ -261,7 +261,7 @@
         submission_id = submission.submission_id
         began = time.monotonic()
         match await self._claims.claim(submission_id):
-            case ClaimMine():
+            case ClaimGranted():
                 left_s = submission.deadline_s - (time.monotonic() - began)
                 if submission.deadline_s:
                     submission = replace(submission, deadline_s=max(left_s, SHORTEST_S))
--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -175,7 +175,7 @@
             is_neighbour = instance_id in neighbours
             if is_neighbour and self._membership.heartbeat_due(instance_id, now):
                 self._send_heartbeat(link)
-        self._membership.refuted()
+        self._membership.heartbeats_sent()
 
     def _send_notices(self, now: float) -> None:
         state = self._state
@@ -380,7 +380,7 @@
         )
         if full:
             beat.held_domains.extend(self._held_domains())
-            beat.suspected.extend(self._membership.rumours())
+            beat.suspected.extend(self._membership.suspicions())
             self._add_tenants(beat)
         return beat
 
--- a/src/cassiaturn/submission/__init__.py
+++ b/src/cassiaturn/submission/__init__.py
@@ -4,7 +4,7 @@
 from cassiaturn.submission._claim_rows import (
     CLAIM_PREFIX,
     ClaimBatch,
-    ClaimMine,
+    ClaimGranted,
     ClaimResolution,
     ClaimRow,
     ClaimTaken,
@@ -51,7 +51,7 @@
     "TICKET_PREFIX",
     "ClaimBatch",
     "ClaimLedger",
-    "ClaimMine",
+    "ClaimGranted",
     "ClaimResolution",
     "ClaimRow",
     "ClaimSettings",
--- a/src/cassiaturn/submission/_claim_rows.py
+++ b/src/cassiaturn/submission/_claim_rows.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ClaimMine:
+class ClaimGranted:
     """The id is ours and was never opened: open it at once, before any await."""
 
     submission_id: str
@@ -73,7 +73,7 @@
     """The id."""
 
 
-ClaimResolution = ClaimMine | ClaimTaken | ClaimUndetermined
+ClaimResolution = ClaimGranted | ClaimTaken | ClaimUndetermined
 """How a claim ends."""
 
 
@@ -90,5 +90,5 @@
     """The rows."""
 
 
-OwnersById = Mapping[str, ClaimRow]
+RowsById = Mapping[str, ClaimRow]
 """Rows found in the store, by submission id."""
--- a/src/cassiaturn/submission/_claims.py
+++ b/src/cassiaturn/submission/_claims.py
@@ -18,12 +18,12 @@
 from cassiaturn.submission._claim_rows import (
     BatchPhase,
     ClaimBatch,
-    ClaimMine,
+    ClaimGranted,
     ClaimResolution,
     ClaimRow,
     ClaimTaken,
     ClaimUndetermined,
-    OwnersById,
+    RowsById,
 )
 from cassiaturn.submission._invariant import InvariantError
 from cassiaturn.submission._settings import ClaimSettings
@@ -36,7 +36,7 @@
     """Batches claims and settles whose each is; no clock, no network.
 
     Ask the submission table first: a row there needs no claim. Each resolution is
-    handed out once, by :meth:`want` or by :meth:`resolved`, whichever comes first.
+    handed out once, by :meth:`request` or by :meth:`resolved`, whichever comes first.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
         """Claims that are not settled."""
         return len(self._wanted_at_by_id)
 
-    def want(
+    def request(
         self, submission_id: str, now: float
-    ) -> ClaimMine | ClaimTaken | ClaimUndetermined | None:
+    ) -> ClaimGranted | ClaimTaken | ClaimUndetermined | None:
         """Ask whose an id is, and claim it if it is nobody's.
 
         :param submission_id: an id of the caller's own choice.
@@ -92,7 +92,7 @@
 
         One batch is in flight at a time, so that those which arrive meanwhile go
         together in the next. Report its end with :meth:`committed`,
-        :meth:`conflicted` or :meth:`lost`.
+        :meth:`conflicted` or :meth:`answer_lost`.
 
         :param now: monotonic time, in seconds.
         """
@@ -116,7 +116,7 @@
         for row in batch.rows:
             self._resolve_row(row, row)
 
-    def conflicted(self, batch: ClaimBatch, owners_by_id: OwnersById) -> None:
+    def conflicted(self, batch: ClaimBatch, owners_by_id: RowsById) -> None:
         """Report that the store inserted nothing, since some rows exist.
 
         :param owners_by_id: the rows that exist.
@@ -124,7 +124,7 @@
         self._end(batch)
         self._settle_rows(batch, owners_by_id)
 
-    def lost(self, batch: ClaimBatch, now: float) -> None:
+    def answer_lost(self, batch: ClaimBatch, now: float) -> None:
         """Report that the store gave no answer; the insert may have happened.
 
         :param now: monotonic time, in seconds.
@@ -136,7 +136,7 @@
     def next_reread(self, now: float) -> ClaimBatch | None:
         """Return the batch whose rows are to be read again, if the budget allows.
 
-        Report its end with :meth:`reread`, or with :meth:`lost` if the read
+        Report its end with :meth:`reread`, or with :meth:`answer_lost` if the read
         failed too.
 
         :param now: monotonic time, in seconds.
@@ -149,7 +149,7 @@
         self._phase = BatchPhase.REREADING
         return self._batch
 
-    def reread(self, batch: ClaimBatch, rows_by_id: OwnersById) -> None:
+    def reread(self, batch: ClaimBatch, rows_by_id: RowsById) -> None:
         """Settle a batch whose answer was lost by the rows that now exist.
 
         Ids without a row are written again with the same token: the first write
@@ -195,7 +195,7 @@
         if self._batch is None or self._batch.number != batch.number:
             raise InvariantError(f"claim batch {batch.number} is not in flight")
 
-    def _settle_rows(self, batch: ClaimBatch, rows_by_id: OwnersById) -> None:
+    def _settle_rows(self, batch: ClaimBatch, rows_by_id: RowsById) -> None:
         for written in reversed(batch.rows):
             found = rows_by_id.get(written.submission_id)
             if found is not None:
@@ -212,7 +212,7 @@
         # forgotten; only the token of this attempt proves that nothing was opened.
         if found.token == written.token:
             del self._tokens_by_id[submission_id]
-            self._resolve(ClaimMine(submission_id=submission_id))
+            self._resolve(ClaimGranted(submission_id=submission_id))
             return
         self._tokens_by_id.pop(submission_id, None)
         taken = ClaimTaken(submission_id=submission_id, home=found.home)
--- a/src/cassiaturn/submission/_record.py
+++ b/src/cassiaturn/submission/_record.py
@@ -30,7 +30,7 @@
     owner: str = ""
     """Tenant that submitted it; nobody else may collect or cancel it."""
 
-    succeeded: bool = False
+    adopted: bool = False
     """Whether an earlier home began it; "not run" would never be true of it."""
 
     answer: Answer | None = None
--- a/src/cassiaturn/submission/_table.py
+++ b/src/cassiaturn/submission/_table.py
@@ -36,7 +36,7 @@
 class SubmissionTable:
     """Rows of submissions by id, and the rules by which they change.
 
-    Open a caller's own id only after the ledger said ``ClaimMine`` for it, and a
+    Open a caller's own id only after the ledger said ``ClaimGranted`` for it, and a
     ticket only if it names this incarnation.
     """
 
@@ -83,7 +83,7 @@
         fingerprint: bytes,
         tasks_total: int,
         now: float,
-        succeeded: bool = False,
+        adopted: bool = False,
         owner: str = "",
     ) -> Opening:
         """Accept a submission, or say what stands in its place.
@@ -93,16 +93,16 @@
         :param tasks_total: tasks of the submission.
         :param now: monotonic time, in seconds.
         :param owner: tenant that submits it.
-        :param succeeded: whether its home ended and this incarnation is the
+        :param adopted: whether its home ended and this incarnation is the
             successor; the ticket's age is on the dead home's clock then.
         :raises InvariantError: the ticket is another incarnation's.
         """
         record = self._records_by_id.get(submission_id)
         if record is not None:
             return _reopen(record, fingerprint)
-        if succeeded and not self._may_adopt(submission_id):
+        if adopted and not self._may_adopt(submission_id):
             return Expired(answer=self.forgotten_answer(submission_id))
-        ticket = None if succeeded else self._own_ticket(submission_id)
+        ticket = None if adopted else self._own_ticket(submission_id)
         if ticket is not None:
             expired = self._expired(ticket, now)
             if expired is not None:
@@ -114,10 +114,10 @@
             tasks_total=tasks_total,
             opened_at=now,
             issued_ms=None if ticket is None else ticket.issued_ms,
-            succeeded=succeeded,
-            possible_starts=1 if succeeded else 0,
+            adopted=adopted,
+            possible_starts=1 if adopted else 0,
         )
-        return self._admit(record, now, succeeded=succeeded)
+        return self._admit(record, now, adopted=adopted)
 
     def begin(self, submission_id: str) -> bool:
         """Ask, directly before a start is sent, whether it may be.
@@ -254,9 +254,7 @@
             return self._refusal(ticket.submission_id, Reason.EXPIRED, retry_ms=0)
         return self.forgotten_answer(ticket.submission_id)
 
-    def _admit(
-        self, record: SubmissionRecord, now: float, *, succeeded: bool
-    ) -> Opening:
+    def _admit(self, record: SubmissionRecord, now: float, *, adopted: bool) -> Opening:
         self._make_room()
         self._records_by_id[record.submission_id] = record
         full = (
@@ -265,7 +263,7 @@
         )
         # A dead home may have begun it, so a full table must not say "not run" of
         # it; max_adopted bounds these.
-        if succeeded or not full:
+        if adopted or not full:
             return Opened(record=record)
         refusal = self._refusal(
             record.submission_id, Reason.OVERLOAD, retry_ms=_FULL_RETRY_MS
@@ -329,7 +327,7 @@
     # A successor accepts only what a target says was begun. Refused here for
     # another reason (its tenant is gone, its deadline passed) it would be called
     # "not run", and its caller would order again what was shipped.
-    if not record.succeeded or answer.outcome is not Outcome.NOT_RUN:
+    if not record.adopted or answer.outcome is not Outcome.NOT_RUN:
         return answer
     return replace(answer, outcome=Outcome.FAILED, ran=Ran.MAYBE, retry_after_ms=0)
 
--- a/src/cassiaturn/submission/tests/test_claims.py
+++ b/src/cassiaturn/submission/tests/test_claims.py
@@ -10,8 +10,8 @@
 
 from cassiaturn.submission import (
     ClaimBatch,
+    ClaimGranted,
     ClaimLedger,
-    ClaimMine,
     ClaimResolution,
     ClaimRow,
     ClaimSettings,
@@ -72,7 +72,7 @@
         store.delayed.append(batch)
     written = fate in (Fate.ANSWERED, Fate.LOST_AFTER) and store.insert(batch)
     if fate is not Fate.ANSWERED:
-        claims.lost(batch, now)
+        claims.answer_lost(batch, now)
         reread = claims.next_reread(now)
         if reread is not None:
             claims.reread(reread, store.found(reread))
@@ -84,11 +84,11 @@
 
 def test_claims_that_wait_share_a_write() -> None:
     claims = ledger()
-    assert claims.want("a", 0.0) is None
+    assert claims.request("a", 0.0) is None
     first = claims.next_batch(0.0)
     assert first is not None
     for submission_id in ("b", "c", "a"):
-        claims.want(submission_id, 0.0)
+        claims.request(submission_id, 0.0)
 
     assert claims.next_batch(0.0) is None
     claims.committed(first)
@@ -96,7 +96,7 @@
 
     assert second is not None
     assert [row.submission_id for row in second.rows] == ["b", "c"]
-    assert claims.resolved() == [ClaimMine(submission_id="a")]
+    assert claims.resolved() == [ClaimGranted(submission_id="a")]
 
 
 def test_one_taken_id_does_not_hold_up_the_rest() -> None:
@@ -105,14 +105,14 @@
     store.rows_by_id["b"] = theirs
     claims = ledger()
     for submission_id in ("a", "b", "c"):
-        claims.want(submission_id, 0.0)
+        claims.request(submission_id, 0.0)
 
     write(claims, store, Fate.ANSWERED, 0.0)
-    assert claims.want("b", 0.0) == ClaimTaken(submission_id="b", home=OTHER)
+    assert claims.request("b", 0.0) == ClaimTaken(submission_id="b", home=OTHER)
     write(claims, store, Fate.ANSWERED, 0.0)
 
-    assert claims.want("a", 0.0) == ClaimMine(submission_id="a")
-    assert claims.want("c", 0.0) == ClaimMine(submission_id="c")
+    assert claims.request("a", 0.0) == ClaimGranted(submission_id="a")
+    assert claims.request("c", 0.0) == ClaimGranted(submission_id="c")
 
 
 @pytest.mark.parametrize("fate", [Fate.LOST_AFTER, Fate.LOST_BEFORE, Fate.DELAYED])
@@ -124,13 +124,13 @@
     """
     store = Store()
     claims = ledger()
-    claims.want("a", 0.0)
+    claims.request("a", 0.0)
     write(claims, store, fate, 0.0)
     for batch in store.delayed:
         store.insert(batch)
     write(claims, store, Fate.ANSWERED, 0.1)
 
-    assert claims.resolved() == [ClaimMine(submission_id="a")]
+    assert claims.resolved() == [ClaimGranted(submission_id="a")]
     assert store.rows_by_id["a"].home == ME
 
 
@@ -141,11 +141,11 @@
     """
     store = Store()
     claims = ledger()
-    claims.want("a", 0.0)
+    claims.request("a", 0.0)
     write(claims, store, Fate.ANSWERED, 0.0)
-    assert claims.want("a", 0.0) == ClaimMine(submission_id="a")
+    assert claims.request("a", 0.0) == ClaimGranted(submission_id="a")
 
-    claims.want("a", 500.0)
+    claims.request("a", 500.0)
     write(claims, store, Fate.LOST_AFTER, 500.0)
 
     assert claims.resolved() == [ClaimTaken(submission_id="a", home=ME)]
@@ -159,20 +159,20 @@
     """
     store = Store()
     claims = ledger()
-    claims.want("a", 0.0)
+    claims.request("a", 0.0)
     batch = claims.next_batch(0.0)
     assert batch is not None
-    claims.lost(batch, 0.5)
+    claims.answer_lost(batch, 0.5)
     assert claims.resolved() == []
 
     assert claims.next_reread(2.0) is not None
     assert claims.resolved() == [ClaimUndetermined(submission_id="a")]
     store.insert(batch)
     claims.reread(batch, {})
-    claims.want("a", 3.0)
+    claims.request("a", 3.0)
     write(claims, store, Fate.ANSWERED, 3.0)
 
-    assert claims.resolved() == [ClaimMine(submission_id="a")]
+    assert claims.resolved() == [ClaimGranted(submission_id="a")]
 
 
 def test_a_claim_that_would_be_given_up_is_not_kept_waiting() -> None:
@@ -188,7 +188,7 @@
         budget=StoreBudget(settings=settings, rng=rng),
         rng=rng,
     )
-    told = [claims.want(f"order-{number}", 0.0) for number in range(20)]
+    told = [claims.request(f"order-{number}", 0.0) for number in range(20)]
 
     assert told[:12] == [None] * 12
     assert all(isinstance(one, ClaimUndetermined) for one in told[12:])
@@ -203,18 +203,18 @@
     for _ in range(5):
         budget.failed(0.0)
 
-    assert claims.want("a", 0.0) is None
-    assert claims.want("b", 0.0) == ClaimUndetermined(submission_id="b")
+    assert claims.request("a", 0.0) is None
+    assert claims.request("b", 0.0) == ClaimUndetermined(submission_id="b")
     batch = claims.next_batch(1.0)
     assert batch is not None
     claims.committed(batch)
     budget.succeeded(1.0)
-    assert claims.want("b", 1.0) is None
+    assert claims.request("b", 1.0) is None
 
 
 def test_an_answer_to_another_batch_stops_the_process() -> None:
     claims = ledger()
-    claims.want("a", 0.0)
+    claims.request("a", 0.0)
     batch = claims.next_batch(0.0)
     assert batch is not None
     claims.committed(batch)
@@ -236,7 +236,7 @@
     for number, (second, fate) in enumerate(fates):
         claims = ledgers[second]
         if number < len(ids):
-            take(mine, [claims.want(ids[number], 0.0)])
+            take(mine, [claims.request(ids[number], 0.0)])
         write(claims, store, fate, 0.0)
         if store.delayed and number % 3 == 0:
             store.insert(store.delayed.pop())
@@ -246,4 +246,6 @@
 
 
 def take(mine: list[str], resolutions: Sequence[ClaimResolution | None]) -> None:
-    mine.extend(one.submission_id for one in resolutions if isinstance(one, ClaimMine))
+    mine.extend(
+        one.submission_id for one in resolutions if isinstance(one, ClaimGranted)
+    )
--- a/src/cassiaturn/submission/tests/test_table.py
+++ b/src/cassiaturn/submission/tests/test_table.py
@@ -41,14 +41,14 @@
     *,
     now: float = 0.0,
     fingerprint: bytes = PRINT,
-    succeeded: bool = False,
+    adopted: bool = False,
 ) -> Opening:
     return rows.open(
         submission_id=submission_id,
         fingerprint=fingerprint,
         tasks_total=2,
         now=now,
-        succeeded=succeeded,
+        adopted=adopted,
     )
 
 
@@ -253,11 +253,11 @@
     """
     rows = table()
     other = "t1.osu-2~18c0000000011223344.0.0"
-    assert isinstance(open_one(rows, other, succeeded=True), Opened)
+    assert isinstance(open_one(rows, other, adopted=True), Opened)
     rows.settle(answer_of(other, Outcome.COMPLETE), 1.0)
     rows.expire(1000.0)
 
-    opening = open_one(rows, other, now=1000.0, succeeded=True)
+    opening = open_one(rows, other, now=1000.0, adopted=True)
 
     assert isinstance(opening, Expired)
     assert opening.answer.outcome is Outcome.UNKNOWN
@@ -275,7 +275,7 @@
 
     other = "t1.osu-2~18c0000000011223344.0.0"
 
-    assert isinstance(open_one(rows, other, succeeded=True), Opened)
+    assert isinstance(open_one(rows, other, adopted=True), Opened)
 
 
 def test_a_successor_never_calls_begun_work_not_run() -> None:
@@ -285,14 +285,14 @@
     """
     rows = table()
     other = "t1.osu-2~18c0000000011223344.0.0"
-    open_one(rows, other, succeeded=True)
+    open_one(rows, other, adopted=True)
     assert rows.begin(other)
     rows.refused(other)
 
     settled = rows.settle(answer_of(other, Outcome.NOT_RUN), 1.0)
 
     assert (settled.outcome, settled.ran) == (Outcome.FAILED, Ran.MAYBE)
-    assert open_one(rows, other, succeeded=True) == Settled(answer=settled)
+    assert open_one(rows, other, adopted=True) == Settled(answer=settled)
 
 
 def test_fingerprints_tell_the_borders_of_tasks() -> None:
