--- a/src/cassiaturn/submission/__init__.py
+++ b/src/cassiaturn/submission/__init__.py
@@ -1,4 +1,9 @@
-"""Tickets, records of submissions, claims, and the use of the store."""
+"""Idempotent submission: tickets, claims of ids, and submission records.
+
+Every submission has one home: the incarnation of an instance that alone may start
+its tasks. A ticket is a submission id that names its home. An id that a caller
+chose gets its home by a claim, a row in the platform's table service.
+"""
 
 from cassiaturn.submission._budget import StoreBudget, StoreState
 from cassiaturn.submission._claim_rows import (
--- a/src/cassiaturn/submission/_budget.py
+++ b/src/cassiaturn/submission/_budget.py
@@ -1,12 +1,13 @@
-"""One instance's use of the platform's store: rates, backoff, circuit breaker.
+"""Limits one instance's use of the store: rates, backoff and a circuit breaker.
 
-Load pattern: the store serves several hundred writes a second for everybody, has
-outages, and every instance notices their end at the same moment. Without a
-client-side limit a fleet that comes back together keeps the store down; without
-the breaker each claim waits out a timeout in a long outage.
+Load pattern: the store serves several hundred writes a second for all its clients
+and has outages, whose end every instance notices at the same moment. Without a
+client-side limit, the instances that return together keep the store overloaded;
+without the circuit breaker, each claim waits for a timeout during a long outage.
 
-Grounds: token buckets bound the sum over all instances whatever their number of
-jobs; full jitter spreads n returning clients over the whole backoff window.
+Grounds: a token bucket per instance bounds the sum over all instances whatever
+their number of jobs; full jitter spreads returning clients over the whole backoff
+window.
 """
 
 import random
@@ -16,22 +17,22 @@
 
 
 class StoreState(Enum):
-    """What the budget believes of the store."""
+    """State of the circuit breaker."""
 
     CLOSED = "closed"
-    """Usable."""
+    """The store is used normally."""
 
     BACKOFF = "backoff"
-    """Failed a moment ago; the next attempt waits."""
+    """The last operation failed; the next one waits for the backoff."""
 
     OPEN = "open"
-    """Failed repeatedly; callers are told so at once."""
+    """Operations failed repeatedly; requests fail without waiting."""
 
     HALF_OPEN = "half_open"
-    """One probe is on its way; nothing else is sent."""
+    """One probe is in flight; nothing else is sent."""
 
 
-class _Bucket:
+class _TokenBucket:
     __slots__ = ("_burst", "_filled_at", "_rate", "_tokens")
 
     def __init__(self, *, rate: float, burst: int) -> None:
@@ -52,17 +53,20 @@
 
 
 class StoreBudget:
-    """Says when this instance may use the store.
+    """Decides when this instance may use the store.
 
-    Ask directly before each operation and report its end with
-    :meth:`succeeded` or :meth:`failed`; a refusal by condition is a success.
+    Call :meth:`may_read` or :meth:`may_write` directly before each operation and
+    report its end with :meth:`succeeded` or :meth:`failed`. A write that the store
+    rejects because its condition does not hold counts as a success.
     """
 
     def __init__(self, *, settings: StoreSettings, rng: random.Random) -> None:
         self._settings = settings
         self._rng = rng
-        self._writes = _Bucket(rate=settings.writes_per_s, burst=settings.write_burst)
-        self._reads = _Bucket(rate=settings.reads_per_s, burst=settings.read_burst)
+        self._writes = _TokenBucket(
+            rate=settings.writes_per_s, burst=settings.write_burst
+        )
+        self._reads = _TokenBucket(rate=settings.reads_per_s, burst=settings.read_burst)
         self._failures = 0
         self._retry_at = 0.0
         self._probed_at = 0.0
@@ -70,58 +74,60 @@
 
     @property
     def state(self) -> StoreState:
-        """What is believed of the store now."""
+        """State of the circuit breaker now."""
         return self._state
 
     @property
     def is_down(self) -> bool:
-        """Whether the store failed repeatedly and has not answered since."""
+        """Whether operations failed repeatedly and none has succeeded since."""
         return self._failures >= self._settings.open_after_failures
 
     def write_wait_s(self, writes: int) -> float:
         """Return how long a number of writes takes at the sustained rate.
 
-        :param writes: writes to be made, one after the other.
-        :returns: seconds.
+        :param writes: number of writes, made one after the other.
+        :returns: duration in seconds.
         """
         return writes / self._settings.writes_per_s
 
     def may_write(self, now: float) -> bool:
-        """Take the right to one write, if there is one.
+        """Reserve one write if the rate and the circuit breaker allow it.
 
         :param now: monotonic time, in seconds.
+        :returns: whether the caller may send one write.
         """
         return self._may(self._writes, now)
 
     def may_read(self, now: float) -> bool:
-        """Take the right to one read, if there is one.
+        """Reserve one read if the rate and the circuit breaker allow it.
 
         :param now: monotonic time, in seconds.
+        :returns: whether the caller may send one read.
         """
         return self._may(self._reads, now)
 
     def succeeded(self, now: float) -> None:
-        """Report an operation that the store answered."""
+        """Report an operation that the store answered; close the circuit breaker."""
         self._failures = 0
         self._state = StoreState.CLOSED
 
     def failed(self, now: float) -> None:
-        """Report an operation without an answer, or with an error.
+        """Report an operation that got no answer or an error.
 
         :param now: monotonic time, in seconds.
         """
-        longest_s = min(
+        max_wait_s = min(
             self._settings.backoff_max_s,
             self._settings.backoff_first_s * 2.0 ** min(self._failures, 32),
         )
         self._failures += 1
-        self._retry_at = now + self._rng.uniform(0, longest_s)
+        self._retry_at = now + self._rng.uniform(0, max_wait_s)
         if self._failures >= self._settings.open_after_failures:
             self._state = StoreState.OPEN
         else:
             self._state = StoreState.BACKOFF
 
-    def _may(self, bucket: _Bucket, now: float) -> bool:
+    def _may(self, bucket: _TokenBucket, now: float) -> bool:
         if self._state is StoreState.CLOSED:
             return bucket.take(now)
         if now < self._retry_at or self._is_probing(now):
@@ -133,8 +139,8 @@
         return True
 
     def _is_probing(self, now: float) -> bool:
-        # A probe whose caller was cancelled never ends. Taken for under way, it
-        # would shut the store off for good, so the longest backoff ends it.
+        # A probe whose caller was cancelled never reports its end. It is given up
+        # after the longest backoff; otherwise it would block the store for good.
         if self._state is not StoreState.HALF_OPEN:
             return False
         return now - self._probed_at < self._settings.backoff_max_s
--- a/src/cassiaturn/submission/_claim_rows.py
+++ b/src/cassiaturn/submission/_claim_rows.py
@@ -1,33 +1,36 @@
-"""Rows of the table service that say who decides for a submission."""
+"""Claim rows of the table service, and the outcomes of claiming an id.
+
+A claim row names the home of a submission whose id its caller chose.
+"""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
 
 CLAIM_PREFIX = "claim/"
-"""Keys of claims start so."""
+"""Prefix of the keys of claim rows."""
 
 
 def claim_key(submission_id: str) -> str:
-    """Return the key of the row that says whose a caller's own id is."""
+    """Return the key of the claim row of an id that a caller chose."""
     return f"{CLAIM_PREFIX}{submission_id}"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimRow:
-    """A claim in the table service; inserted once, never changed."""
+    """A claim row in the table service; inserted once and never updated."""
 
     submission_id: str
-    """Id of the caller's own choice."""
+    """Id that the caller chose."""
 
     home: str
-    """Incarnation that alone may start its tasks."""
+    """Incarnation that alone may start the tasks of the submission."""
 
     token: str
-    """Names the attempt that wrote the row, so that a lost answer is settled."""
+    """Identifies the attempt that wrote the row, to resolve a lost answer."""
 
     claimed_ms: int = 0
-    """Wall clock of the insert, in milliseconds; tells when it may be deleted."""
+    """Wall clock of the insert, in milliseconds; decides when it may be deleted."""
 
     @property
     def key(self) -> str:
@@ -37,18 +40,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimBatch:
-    """Claims to insert in one transaction, all of them or none."""
+    """Claim rows to insert in one transaction, all of them or none."""
 
     number: int
-    """Counts the batches of a ledger, from 1."""
+    """Sequence number of the batch in its ledger, from 1."""
 
     rows: Sequence[ClaimRow]
-    """Rows, each inserted only if its key is absent."""
+    """Rows to insert, each on the condition that its key is absent."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimGranted:
-    """The id is ours and was never opened: open it at once, before any await."""
+    """The attempt claimed the id, which was never opened.
+
+    Open the submission at once, before any ``await``.
+    """
 
     submission_id: str
     """The claimed id."""
@@ -56,39 +62,40 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimTaken:
-    """Another incarnation, or an earlier claim of ours, has the id."""
+    """Another incarnation, or an earlier claim of this one, holds the id."""
 
     submission_id: str
     """The id."""
 
     home: str
-    """Incarnation to forward to; our own if its record was forgotten."""
+    """Incarnation to forward to; this one if it claimed the id before and its record
+    was forgotten."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimUndetermined:
-    """The store did not say in time whose the id is: the answer is unknown."""
+    """The store did not answer in time, so the home of the id is unknown."""
 
     submission_id: str
     """The id."""
 
 
 ClaimResolution = ClaimGranted | ClaimTaken | ClaimUndetermined
-"""How a claim ends."""
+"""Outcome of a claim."""
 
 
 class BatchPhase(Enum):
-    """What the one batch in flight waits for."""
+    """What the batch in flight waits for."""
 
     WRITING = "writing"
-    """The answer of the insert."""
+    """The answer to the insert."""
 
     REREAD_DUE = "reread_due"
-    """A right to read the rows again, since the answer was lost."""
+    """Permission to read its rows again, since the answer to the insert was lost."""
 
     REREADING = "rereading"
-    """The rows."""
+    """The rows that are read again."""
 
 
 RowsById = Mapping[str, ClaimRow]
-"""Rows found in the store, by submission id."""
+"""Claim rows found in the store, by submission id."""
--- a/src/cassiaturn/submission/_claims.py
+++ b/src/cassiaturn/submission/_claims.py
@@ -1,12 +1,14 @@
-"""Claims of ids that callers choose, written in groups.
+"""Claims the ids that callers choose, in batches (group commit).
 
 Load pattern: many thousand small jobs a second against a store that takes several
-hundred writes a second for everybody. One write for each job would admit a few
-hundred jobs a second; here every claim that waits goes into the next write, so
-writes a job fall as the load rises, and an idle ledger writes at once.
-
-Without the token a lost answer could not be settled: the row that a re-read finds
-might be an earlier claim of this same incarnation, whose tasks already ran.
+hundred writes a second for all its clients. One write for each job would admit only
+a few hundred jobs a second. Here all waiting claims go into the next write, so the
+number of writes per job falls as the load rises, and a claim that arrives at an idle
+ledger is written at once.
+
+Each attempt writes its own token. Without it, a lost answer could not be resolved:
+the row that is found afterwards might be an earlier claim of the same incarnation,
+whose tasks already ran.
 """
 
 import random
@@ -33,10 +35,11 @@
 
 
 class ClaimLedger:
-    """Batches claims and settles whose each is; no clock, no network.
+    """Batches claims and resolves each of them; uses no clock and no network.
 
-    Ask the submission table first: a row there needs no claim. Each resolution is
-    handed out once, by :meth:`request` or by :meth:`resolved`, whichever comes first.
+    Look into the submission table first: a submission with a record there needs no
+    claim. Each resolution is returned once, by :meth:`request` or by
+    :meth:`resolved`, whichever is called first.
     """
 
     def __init__(
@@ -51,7 +54,7 @@
         self._settings = settings
         self._budget = budget
         self._rng = rng
-        self._wanted_at_by_id: dict[str, float] = {}
+        self._requested_at_by_id: dict[str, float] = {}
         self._waiting_by_id: OrderedDict[str, None] = OrderedDict()
         self._tokens_by_id: OrderedDict[str, str] = OrderedDict()
         self._taken_by_id: OrderedDict[str, ClaimTaken] = OrderedDict()
@@ -62,17 +65,17 @@
 
     @property
     def waiting(self) -> int:
-        """Claims that are not settled."""
-        return len(self._wanted_at_by_id)
+        """Number of claims without a resolution."""
+        return len(self._requested_at_by_id)
 
     def request(
         self, submission_id: str, now: float
     ) -> ClaimGranted | ClaimTaken | ClaimUndetermined | None:
-        """Ask whose an id is, and claim it if it is nobody's.
+        """Claim an id if nobody holds it yet.
 
-        :param submission_id: an id of the caller's own choice.
+        :param submission_id: an id that a caller chose.
         :param now: monotonic time, in seconds.
-        :returns: None while the store has not said.
+        :returns: the resolution, or None while it is pending.
         """
         resolution = self._resolved_by_id.pop(submission_id, None)
         if resolution is not None:
@@ -80,21 +83,22 @@
         taken = self._taken_by_id.get(submission_id)
         if taken is not None:
             return taken
-        if submission_id not in self._wanted_at_by_id:
-            if self._is_hopeless():
+        if submission_id not in self._requested_at_by_id:
+            if self._would_time_out():
                 return ClaimUndetermined(submission_id=submission_id)
-            self._wanted_at_by_id[submission_id] = now
+            self._requested_at_by_id[submission_id] = now
             self._waiting_by_id[submission_id] = None
         return None
 
     def next_batch(self, now: float) -> ClaimBatch | None:
         """Return the claims to insert now, if the budget allows a write.
 
-        One batch is in flight at a time, so that those which arrive meanwhile go
-        together in the next. Report its end with :meth:`committed`,
-        :meth:`conflicted` or :meth:`answer_lost`.
+        One batch is in flight at a time, so that claims which arrive meanwhile share
+        the next one. Report its end with :meth:`committed`, :meth:`conflicted` or
+        :meth:`answer_lost`.
 
         :param now: monotonic time, in seconds.
+        :returns: None if nothing is to be written now.
         """
         self._give_up(now)
         if self._batch is not None or not self._waiting_by_id:
@@ -111,23 +115,28 @@
         return self._batch
 
     def committed(self, batch: ClaimBatch) -> None:
-        """Report that the store inserted every row of a batch."""
+        """Report that the store inserted every row of a batch.
+
+        :raises InvariantError: the batch is not in flight.
+        """
         self._end(batch)
         for row in batch.rows:
             self._resolve_row(row, row)
 
     def conflicted(self, batch: ClaimBatch, owners_by_id: RowsById) -> None:
-        """Report that the store inserted nothing, since some rows exist.
+        """Report that the store inserted nothing because some rows exist already.
 
         :param owners_by_id: the rows that exist.
+        :raises InvariantError: the batch is not in flight.
         """
         self._end(batch)
-        self._settle_rows(batch, owners_by_id)
+        self._resolve_batch(batch, owners_by_id)
 
     def answer_lost(self, batch: ClaimBatch, now: float) -> None:
         """Report that the store gave no answer; the insert may have happened.
 
         :param now: monotonic time, in seconds.
+        :raises InvariantError: the batch is not in flight.
         """
         self._check_current(batch)
         self._phase = BatchPhase.REREAD_DUE
@@ -136,10 +145,11 @@
     def next_reread(self, now: float) -> ClaimBatch | None:
         """Return the batch whose rows are to be read again, if the budget allows.
 
-        Report its end with :meth:`reread`, or with :meth:`answer_lost` if the read
-        failed too.
+        Report the end of the read with :meth:`reread`, or with :meth:`answer_lost`
+        if the read failed too.
 
         :param now: monotonic time, in seconds.
+        :returns: None if nothing is to be read now.
         """
         self._give_up(now)
         if self._batch is None or self._phase is not BatchPhase.REREAD_DUE:
@@ -150,32 +160,33 @@
         return self._batch
 
     def reread(self, batch: ClaimBatch, rows_by_id: RowsById) -> None:
-        """Settle a batch whose answer was lost by the rows that now exist.
+        """Resolve a batch whose answer was lost, by the rows that exist now.
 
-        Ids without a row are written again with the same token: the first write
-        may still be on its way, and its late effect is then known as ours.
+        Ids without a row are written again with the same token: the first write may
+        still take effect, and the token then shows that the row is of this attempt.
 
         :param rows_by_id: the rows that exist.
+        :raises InvariantError: the batch is not in flight.
         """
         self._end(batch)
-        self._settle_rows(batch, rows_by_id)
+        self._resolve_batch(batch, rows_by_id)
 
     def resolved(self) -> Sequence[ClaimResolution]:
-        """Return, once, every resolution not yet handed out."""
+        """Return the resolutions that were not returned before."""
         resolutions = list(self._resolved_by_id.values())
         self._resolved_by_id.clear()
         return resolutions
 
-    def _is_hopeless(self) -> bool:
-        """Whether a claim made now would be given up in the end.
+    def _would_time_out(self) -> bool:
+        """Return whether a claim requested now would be given up before its write.
 
-        Its caller is told at once: held back until then it would only wait, and
-        take the place of others. While the store is down one claim waits, as the
-        probe that notices its return.
+        Such a claim is refused at once: queued, it would only make its caller wait
+        and take the place of others. While the store is down, one claim is queued
+        as the probe that notices its recovery.
         """
-        if self._budget.is_down and self._wanted_at_by_id:
+        if self._budget.is_down and self._requested_at_by_id:
             return True
-        batches = len(self._wanted_at_by_id) // self._settings.max_rows
+        batches = len(self._requested_at_by_id) // self._settings.max_rows
         return self._budget.write_wait_s(batches) > self._settings.give_up_s
 
     def _row(self, submission_id: str) -> ClaimRow:
@@ -195,21 +206,21 @@
         if self._batch is None or self._batch.number != batch.number:
             raise InvariantError(f"claim batch {batch.number} is not in flight")
 
-    def _settle_rows(self, batch: ClaimBatch, rows_by_id: RowsById) -> None:
+    def _resolve_batch(self, batch: ClaimBatch, rows_by_id: RowsById) -> None:
         for written in reversed(batch.rows):
             found = rows_by_id.get(written.submission_id)
             if found is not None:
                 self._resolve_row(written, found)
-            elif written.submission_id in self._wanted_at_by_id:
+            elif written.submission_id in self._requested_at_by_id:
                 self._waiting_by_id[written.submission_id] = None
                 self._waiting_by_id.move_to_end(written.submission_id, last=False)
 
     def _resolve_row(self, written: ClaimRow, found: ClaimRow) -> None:
         submission_id = written.submission_id
-        if submission_id not in self._wanted_at_by_id:
+        if submission_id not in self._requested_at_by_id:
             return
         # The row may be an earlier claim of this incarnation whose record is
-        # forgotten; only the token of this attempt proves that nothing was opened.
+        # forgotten; only the token of this attempt proves that it was never opened.
         if found.token == written.token:
             del self._tokens_by_id[submission_id]
             self._resolve(ClaimGranted(submission_id=submission_id))
@@ -217,23 +228,23 @@
         self._tokens_by_id.pop(submission_id, None)
         taken = ClaimTaken(submission_id=submission_id, home=found.home)
         self._taken_by_id[submission_id] = taken
-        self._trim(self._taken_by_id)
+        self._evict_oldest(self._taken_by_id)
         self._resolve(taken)
 
     def _resolve(self, resolution: ClaimResolution) -> None:
-        del self._wanted_at_by_id[resolution.submission_id]
+        del self._requested_at_by_id[resolution.submission_id]
         self._resolved_by_id[resolution.submission_id] = resolution
 
     def _give_up(self, now: float) -> None:
         oldest = now - self._settings.give_up_s
-        while self._wanted_at_by_id:
-            submission_id, wanted_at = next(iter(self._wanted_at_by_id.items()))
-            if wanted_at > oldest:
+        while self._requested_at_by_id:
+            submission_id, requested_at = next(iter(self._requested_at_by_id.items()))
+            if requested_at > oldest:
                 return
             self._waiting_by_id.pop(submission_id, None)
             self._resolve(ClaimUndetermined(submission_id=submission_id))
-            self._trim(self._tokens_by_id)
+            self._evict_oldest(self._tokens_by_id)
 
-    def _trim(self, remembered_by_id: "OrderedDict[str, _Value]") -> None:
+    def _evict_oldest(self, remembered_by_id: "OrderedDict[str, _Value]") -> None:
         while len(remembered_by_id) > self._settings.max_remembered:
             remembered_by_id.popitem(last=False)
--- a/src/cassiaturn/submission/_invariant.py
+++ b/src/cassiaturn/submission/_invariant.py
@@ -1,9 +1,9 @@
-"""The error of a broken invariant."""
+"""The error raised when an invariant is broken."""
 
 
 class InvariantError(RuntimeError):
-    """A state that no sequence of events may reach; the process stops on it.
+    """A state that no sequence of events may reach; it stops the process.
 
-    Raise it only where going on could break a promise to a caller. What callers,
-    peers, targets or the platform send is never a reason for it.
+    Raise it only where continuing could break a guarantee given to a caller, and
+    never because of input from callers, peers, targets or the platform.
     """
--- a/src/cassiaturn/submission/_record.py
+++ b/src/cassiaturn/submission/_record.py
@@ -1,4 +1,7 @@
-"""What a home keeps of a submission, and what opening one can lead to."""
+"""Submission records, and the outcomes of opening a submission.
+
+A home keeps one record of each submission that it was given.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -10,43 +13,46 @@
 
 @dataclass(slots=True, kw_only=True)
 class SubmissionRecord:
-    """A row of the home's table: one submission, from acceptance to forgetting."""
+    """One submission in the table of its home, from acceptance to removal."""
 
     submission_id: str
     """Id of the submission."""
 
     fingerprint: bytes
-    """Hash of its method and tasks; another one under the same id is refused."""
+    """Hash of its method and tasks; a request with the same id and another hash is
+    refused."""
 
     tasks_total: int
-    """Tasks of the submission."""
+    """Number of tasks of the submission."""
 
     opened_at: float
-    """Home's monotonic time of acceptance, in seconds."""
+    """Time of acceptance on the home's monotonic clock, in seconds."""
 
     issued_ms: int | None
-    """Issue time of its ticket, in milliseconds; None for a caller's own id."""
+    """Issue time of its ticket, in milliseconds since the start of the home; None
+    for an id that the caller chose."""
 
     owner: str = ""
-    """Tenant that submitted it; nobody else may collect or cancel it."""
+    """Tenant that submitted it; no other may collect or cancel it."""
 
     adopted: bool = False
-    """Whether an earlier home began it; "not run" would never be true of it."""
+    """Whether it was taken over from a home that ended. That home may have begun
+    it, so "not run" is never a correct answer for it."""
 
     answer: Answer | None = None
-    """What callers are told; None while it runs."""
+    """Answer given to callers; None while the submission runs."""
 
     settled_at: float | None = None
-    """Home's monotonic time of the final answer, in seconds."""
+    """Time of the final answer on the home's monotonic clock, in seconds."""
 
     possible_starts: int = 0
-    """Starts sent that no target has denied: while above 0, something may run."""
+    """Starts sent that no target has refused; above 0, a task may have run."""
 
     result_bytes: int = 0
-    """Size of the results kept in memory."""
+    """Size of its results kept in memory, in bytes."""
 
     offload_asked: bool = field(default=False)
-    """Whether the results are on their way to the object store."""
+    """Whether the results are being written to the object store."""
 
     @property
     def is_settled(self) -> bool:
@@ -59,43 +65,43 @@
     """A new submission: the home may start its tasks."""
 
     record: SubmissionRecord
-    """The row just made."""
+    """The new record."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Joined:
-    """A resubmission of one that runs: wait for the same answer."""
+    """A resubmission of a running submission: wait for the same answer."""
 
     record: SubmissionRecord
-    """The row of the first one."""
+    """The record of the first submission."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settled:
-    """The answer stands already, or the submission was refused at once."""
+    """The answer is final already, or the submission was refused at once."""
 
     answer: Answer
-    """What to tell the caller."""
+    """Answer to give to the caller."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Mismatched:
-    """Another submission has this id; nothing is said about that one."""
+    """A different request has this id; nothing about it is disclosed."""
 
     submission_id: str
-    """The id that stands for something else."""
+    """The id that is in use."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Expired:
-    """The id may not open a submission any more, and no record of it is left."""
+    """The id may no longer open a submission, and no record of it is left."""
 
     answer: Answer
     """``NOT_RUN`` where that is certain, else ``UNKNOWN``."""
 
 
 Opening = Opened | Joined | Settled | Mismatched | Expired
-"""Everything that opening a submission can lead to."""
+"""Outcome of opening a submission."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -103,20 +109,21 @@
     """Results to be written to the object store."""
 
     submission_id: str
-    """Submission that the results answer."""
+    """Id of the submission."""
 
     object_key: str
     """Key that no other submission or home writes to."""
 
     results: Sequence[bytes]
-    """One serialized reply a task, in the order submitted."""
+    """One serialized reply per task, in the order submitted."""
 
 
 def fingerprint_of(*, method: str, tasks: Sequence[bytes]) -> bytes:
-    """Return the hash by which a resubmission is told from another request.
+    """Return the hash that tells a resubmission from a different request.
 
     :param method: full name of the method.
     :param tasks: serialized request messages, in order.
+    :returns: 16 bytes.
     """
     digest = xxhash.xxh3_128()
     for part in (method.encode(), *tasks):
--- a/src/cassiaturn/submission/_retained.py
+++ b/src/cassiaturn/submission/_retained.py
@@ -1,4 +1,4 @@
-"""Results that wait in memory for their callers, bounded in bytes."""
+"""Results kept in memory for their callers, bounded in bytes."""
 
 from collections.abc import Sequence
 
@@ -10,10 +10,11 @@
 
 
 class RetainedResults:
-    """Counts bytes of results, and chooses those that go to the object store.
+    """Counts the bytes of results and selects those to move to the object store.
 
-    Large results go at once, small ones oldest first when memory fills, so that
-    the store sees few writes and a resubmission mostly reads memory.
+    Large results are moved at once; small ones are moved oldest first when memory
+    fills. The store then gets few writes, and most resubmissions are answered from
+    memory.
     """
 
     def __init__(self, *, incarnation: str, settings: SubmissionSettings) -> None:
@@ -30,7 +31,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further submission should be accepted."""
+        """Whether results fill the memory, so that no submission should be accepted."""
         return self._total_bytes >= self._settings.max_result_bytes
 
     def add(self, record: SubmissionRecord) -> None:
@@ -51,7 +52,7 @@
         record.result_bytes = 0
 
     def offer_again(self, record: SubmissionRecord) -> None:
-        """Offer results again that the object store did not take."""
+        """Queue results again that could not be written to the object store."""
         if not record.offload_asked:
             return
         record.offload_asked = False
@@ -59,13 +60,13 @@
         self._waiting_by_id[record.submission_id] = record
 
     def take_due(self) -> Sequence[Offload]:
-        """Return results to move now; each is returned once."""
-        limit = self._settings.max_result_bytes * self._settings.offload_share
+        """Return results to write to the object store now, each once."""
+        limit_bytes = self._settings.max_result_bytes * self._settings.offload_share
         due = []
         for record in list(self._waiting_by_id.values()):
-            staying = self._total_bytes - self._moving_bytes
-            large = record.result_bytes > self._settings.inline_bytes
-            if not large and staying <= limit:
+            remaining_bytes = self._total_bytes - self._moving_bytes
+            is_large = record.result_bytes > self._settings.inline_bytes
+            if not is_large and remaining_bytes <= limit_bytes:
                 continue
             del self._waiting_by_id[record.submission_id]
             record.offload_asked = True
--- a/src/cassiaturn/submission/_table.py
+++ b/src/cassiaturn/submission/_table.py
@@ -1,12 +1,13 @@
-"""The home's record of every submission that it was given.
+"""Keeps the home's record of every submission, and makes submission idempotent.
 
-Load pattern: callers resubmit what they believe lost, to any instance and while
-the first attempt still runs. The table makes the home the one place that decides,
-and the first final answer the only one.
+Load pattern: callers resubmit jobs that they believe lost, to any instance and while
+the first attempt still runs. The home alone decides about a submission, and its first
+final answer is the only one.
 
-Without it a resubmission starts its tasks again. Memory is bounded by records and
-by bytes of results; what was forgotten is answered as unknown or as not run,
-whichever is certain, and never started again.
+Without the table, a resubmission would start its tasks again. Memory is bounded by
+the number of records and by the bytes of results. A submission whose record was
+removed is answered "not run" where that is certain and "unknown" otherwise, and is
+never started again.
 """
 
 from collections.abc import Mapping, Sequence
@@ -34,10 +35,10 @@
 
 
 class SubmissionTable:
-    """Rows of submissions by id, and the rules by which they change.
+    """Submission records by id, and the rules by which they change.
 
-    Open a caller's own id only after the ledger said ``ClaimGranted`` for it, and a
-    ticket only if it names this incarnation.
+    Open an id that a caller chose only after the claim ledger returned
+    ``ClaimGranted`` for it, and a ticket only if it names this incarnation.
     """
 
     def __init__(
@@ -47,6 +48,12 @@
         settings: SubmissionSettings,
         booted_at: float = 0.0,
     ) -> None:
+        """Create an empty table.
+
+        :param incarnation: incarnation of this process, the home of its tickets.
+        :param settings: limits of records and results.
+        :param booted_at: monotonic time of the start of this process, in seconds.
+        """
         self._incarnation = incarnation
         self._settings = settings
         self._booted_at = booted_at
@@ -54,12 +61,12 @@
         self._settled_by_id: dict[str, SubmissionRecord] = {}
         self._retained = RetainedResults(incarnation=incarnation, settings=settings)
         self._adopted_ids: set[str] = set()
-        self._forgotten_ms = -1
-        self._refused_ms = -1
+        self._forgotten_until_ms = -1
+        self._refused_until_ms = -1
 
     @property
     def records_by_id(self) -> Mapping[str, SubmissionRecord]:
-        """Every row, for reading only."""
+        """All records, as a read-only view."""
         return MappingProxyType(self._records_by_id)
 
     @property
@@ -69,11 +76,11 @@
 
     @property
     def running(self) -> int:
-        """Rows without a final answer."""
+        """Number of records without a final answer."""
         return len(self._records_by_id) - len(self._settled_by_id)
 
     def get(self, submission_id: str) -> SubmissionRecord | None:
-        """Return the row of a submission, if it is kept."""
+        """Return the record of a submission, or None if there is none."""
         return self._records_by_id.get(submission_id)
 
     def open(
@@ -86,16 +93,18 @@
         adopted: bool = False,
         owner: str = "",
     ) -> Opening:
-        """Accept a submission, or say what stands in its place.
+        """Accept a submission, or return why it is not started.
 
         :param submission_id: a ticket of this incarnation, or a claimed id.
         :param fingerprint: see :func:`fingerprint_of`.
-        :param tasks_total: tasks of the submission.
+        :param tasks_total: number of tasks of the submission.
         :param now: monotonic time, in seconds.
-        :param owner: tenant that submits it.
         :param adopted: whether its home ended and this incarnation is the
-            successor; the ticket's age is on the dead home's clock then.
-        :raises InvariantError: the ticket is another incarnation's.
+            successor. The age of the ticket is not checked then, since it was
+            issued on the clock of the ended home.
+        :param owner: tenant that submits it.
+        :returns: the outcome; the tasks may start only if it is ``Opened``.
+        :raises InvariantError: the ticket is malformed or of another incarnation.
         """
         record = self._records_by_id.get(submission_id)
         if record is not None:
@@ -104,7 +113,7 @@
             return Expired(answer=self.forgotten_answer(submission_id))
         ticket = None if adopted else self._own_ticket(submission_id)
         if ticket is not None:
-            expired = self._expired(ticket, now)
+            expired = self._expired_answer(ticket, now)
             if expired is not None:
                 return Expired(answer=expired)
         record = SubmissionRecord(
@@ -120,11 +129,11 @@
         return self._admit(record, now, adopted=adopted)
 
     def begin(self, submission_id: str) -> bool:
-        """Ask, directly before a start is sent, whether it may be.
+        """Register a start; call it directly before the start is sent.
 
-        :returns: False once the answer is final, so that a submission which was
-            refused or cancelled starts nothing later. True counts the start as
-            possible until :meth:`refused` takes it back.
+        :returns: whether the start may be sent. False once the answer is final, so
+            that a submission which was refused or cancelled starts nothing later. If
+            True, the start counts as possible until :meth:`refused` withdraws it.
         """
         record = self._records_by_id.get(submission_id)
         if record is None or record.is_settled:
@@ -133,9 +142,9 @@
         return True
 
     def refused(self, submission_id: str) -> None:
-        """Report that a target denied a start for good, so it never ran.
+        """Report that a target finally refused a start, so that it never ran.
 
-        :raises InvariantError: more starts were denied than begun.
+        :raises InvariantError: more starts were refused than begun.
         """
         record = self._records_by_id.get(submission_id)
         if record is None:
@@ -145,49 +154,52 @@
         record.possible_starts -= 1
 
     def settle(self, answer: Answer, now: float) -> Answer:
-        """Record an answer; the first final one stands.
+        """Record an answer; the first final one is kept.
 
-        :param answer: what the home would tell; ``UNKNOWN`` is kept until a final
-            answer replaces it.
+        :param answer: answer of the home; ``UNKNOWN`` is kept until a final answer
+            replaces it.
         :param now: monotonic time, in seconds.
-        :returns: what callers are told from now on.
-        :raises InvariantError: no such row, an incomplete ``COMPLETE``, or
+        :returns: the answer that callers get from now on.
+        :raises InvariantError: there is no such record, the answer is ``PENDING``,
+            a ``COMPLETE`` one lacks results, another one has results, or it is
             ``NOT_RUN`` while a start may have run.
         """
         record = self._records_by_id.get(answer.submission_id)
         if record is None:
-            raise InvariantError(f"{answer.submission_id}: settled, never opened")
+            raise InvariantError(
+                f"{answer.submission_id}: answer for a submission never opened"
+            )
         if record.is_settled and record.answer is not None:
             return record.answer
-        answer = _true_answer(record, answer)
+        answer = _correct_adopted(record, answer)
         _check_answer(record, answer)
         record.answer = answer
         if answer.is_final:
-            self._settle_row(record, now)
+            self._settle_record(record, now)
         return answer
 
     def expire(self, now: float) -> int:
-        """Forget settled rows whose retention ended.
+        """Remove settled records whose retention ended.
 
         :param now: monotonic time, in seconds.
-        :returns: the number of rows forgotten.
+        :returns: the number of records removed.
         """
-        oldest_kept = now - self._settings.retention_s
+        settled_until = now - self._settings.retention_s
         count = 0
         while self._settled_by_id:
             record = next(iter(self._settled_by_id.values()))
-            if record.settled_at is None or record.settled_at > oldest_kept:
+            if record.settled_at is None or record.settled_at > settled_until:
                 break
             self._forget(record)
             count += 1
         return count
 
     def to_offload(self, now: float) -> Sequence[Offload]:
-        """Return results that are to be moved to the object store.
+        """Return results to write to the object store.
 
-        Each is returned once; :meth:`offload_failed` offers it again.
+        Each is returned once, and again after :meth:`offload_failed`.
 
-        :param now: monotonic time, in seconds.
+        :param now: monotonic time, in seconds; not used.
         """
         del now
         return self._retained.take_due()
@@ -195,7 +207,7 @@
     def offloaded(self, submission_id: str, object_key: str) -> None:
         """Report that the object store holds the results.
 
-        :param object_key: the key of the :class:`Offload`.
+        :param object_key: key of the :class:`Offload`.
         """
         record = self._records_by_id.get(submission_id)
         if record is None or record.answer is None or not record.offload_asked:
@@ -204,15 +216,15 @@
         self._retained.drop(record)
 
     def offload_failed(self, submission_id: str) -> None:
-        """Report that the object store did not take the results."""
+        """Report that the results could not be written to the object store."""
         record = self._records_by_id.get(submission_id)
         if record is not None:
             self._retained.offer_again(record)
 
     def forgotten_answer(self, submission_id: str) -> Answer:
-        """Return what is true of an id that was this home's and has no row.
+        """Return the answer for an id of this home whose record was removed.
 
-        Use it for a claim that names this incarnation without a row here.
+        Use it also for a claim that names this incarnation without a record here.
         """
         return Answer.unknown(
             submission_id,
@@ -221,9 +233,9 @@
         )
 
     def _may_adopt(self, submission_id: str) -> bool:
-        # Targets are asked for the dead home's runs only. Adopted a second time,
-        # after its row was forgotten, a submission would start again what this
-        # incarnation itself ran; so each is adopted once in its life.
+        # Each submission is adopted at most once by an incarnation. Targets are asked
+        # only for the runs of the ended home, so a second adoption, after the record
+        # was removed, would repeat what this incarnation itself ran.
         if submission_id in self._adopted_ids:
             return False
         if len(self._adopted_ids) >= self._settings.max_adopted:
@@ -234,42 +246,46 @@
     def _own_ticket(self, submission_id: str) -> Ticket | None:
         match parse_ticket(submission_id):
             case MalformedTicket(problem=problem):
-                raise InvariantError(f"{submission_id}: opened, but {problem}")
+                raise InvariantError(
+                    f"{submission_id}: malformed ticket was opened: {problem}"
+                )
             case Ticket() as ticket if ticket.home != self._incarnation:
-                raise InvariantError(f"{submission_id}: opened away from its home")
+                raise InvariantError(
+                    f"{submission_id}: ticket of another home was opened"
+                )
             case ticket:
                 return ticket
 
-    def _expired(self, ticket: Ticket, now: float) -> Answer | None:
+    def _expired_answer(self, ticket: Ticket, now: float) -> Answer | None:
         age_s = now - self._booted_at - ticket.issued_ms / _MS_PER_S
-        in_time = 0 <= age_s <= self._settings.ticket_valid_s
-        lost_row = ticket.issued_ms <= self._forgotten_ms
-        refused_row = ticket.issued_ms <= self._refused_ms
-        if in_time and not lost_row and not refused_row:
+        is_in_time = 0 <= age_s <= self._settings.ticket_valid_s
+        may_be_forgotten = ticket.issued_ms <= self._forgotten_until_ms
+        may_be_refused = ticket.issued_ms <= self._refused_until_ms
+        if is_in_time and not may_be_forgotten and not may_be_refused:
             return None
-        # A ticket opened in time has a row until retention_s after its issue,
-        # unless it was evicted before; so without a row it was never opened, and
-        # cannot be any more.
-        if not lost_row and age_s < self._settings.retention_s:
+        # The record of a ticket that was opened in time is kept at least until
+        # retention_s after the issue, unless it is evicted. Without a record before
+        # then, the ticket was never opened and cannot be opened any more.
+        if not may_be_forgotten and age_s < self._settings.retention_s:
             return self._refusal(ticket.submission_id, Reason.EXPIRED, retry_ms=0)
         return self.forgotten_answer(ticket.submission_id)
 
     def _admit(self, record: SubmissionRecord, now: float, *, adopted: bool) -> Opening:
         self._make_room()
         self._records_by_id[record.submission_id] = record
-        full = (
+        is_full = (
             len(self._records_by_id) > self._settings.max_records
             or self._retained.is_full
         )
-        # A dead home may have begun it, so a full table must not say "not run" of
-        # it; max_adopted bounds these.
-        if adopted or not full:
+        # The ended home may have begun an adopted submission, so a full table must
+        # not answer "not run" for it; max_adopted bounds their number.
+        if adopted or not is_full:
             return Opened(record=record)
         refusal = self._refusal(
             record.submission_id, Reason.OVERLOAD, retry_ms=_FULL_RETRY_MS
         )
         record.answer = refusal
-        self._settle_row(record, now)
+        self._settle_record(record, now)
         self._make_room()
         return Settled(answer=refusal)
 
@@ -282,32 +298,32 @@
             retry_after_ms=retry_ms,
         )
 
-    def _settle_row(self, record: SubmissionRecord, now: float) -> None:
+    def _settle_record(self, record: SubmissionRecord, now: float) -> None:
         record.settled_at = now
         self._settled_by_id[record.submission_id] = record
         self._retained.add(record)
 
     def _make_room(self) -> None:
-        """Forget the oldest settled rows above the bound of records.
+        """Evict the oldest settled records until a new one fits.
 
-        Tickets issued no later than a forgotten one cannot open a row any more:
-        otherwise its resubmission would start the same tasks again. One number a
-        kind of answer is enough, since a home's tickets are in order of issue.
+        Tickets issued no later than an evicted one can no longer open a submission;
+        otherwise its resubmission would start the same tasks again. One issue time
+        for each kind of answer is enough, since a home issues tickets in order.
         """
         while len(self._records_by_id) >= self._settings.max_records:
             record = next(iter(self._settled_by_id.values()), None)
             if record is None:
                 return
-            self._raise_floor(record)
+            self._raise_watermark(record)
             self._forget(record)
 
-    def _raise_floor(self, record: SubmissionRecord) -> None:
+    def _raise_watermark(self, record: SubmissionRecord) -> None:
         if record.issued_ms is None or record.answer is None:
             return
         if record.answer.outcome is Outcome.NOT_RUN:
-            self._refused_ms = max(self._refused_ms, record.issued_ms)
+            self._refused_until_ms = max(self._refused_until_ms, record.issued_ms)
         else:
-            self._forgotten_ms = max(self._forgotten_ms, record.issued_ms)
+            self._forgotten_until_ms = max(self._forgotten_until_ms, record.issued_ms)
 
     def _forget(self, record: SubmissionRecord) -> None:
         del self._records_by_id[record.submission_id]
@@ -323,10 +339,10 @@
     return Joined(record=record)
 
 
-def _true_answer(record: SubmissionRecord, answer: Answer) -> Answer:
-    # A successor accepts only what a target says was begun. Refused here for
-    # another reason (its tenant is gone, its deadline passed) it would be called
-    # "not run", and its caller would order again what was shipped.
+def _correct_adopted(record: SubmissionRecord, answer: Answer) -> Answer:
+    # A successor adopts only submissions that a target reports as begun. If one is
+    # then refused for another reason (its tenant is gone, its deadline passed), the
+    # answer "not run" would be wrong, and its caller would repeat work already done.
     if not record.adopted or answer.outcome is not Outcome.NOT_RUN:
         return answer
     return replace(answer, outcome=Outcome.FAILED, ran=Ran.MAYBE, retry_after_ms=0)
@@ -334,12 +350,18 @@
 
 def _check_answer(record: SubmissionRecord, answer: Answer) -> None:
     if answer.outcome is Outcome.PENDING:
-        raise InvariantError(f"{record.submission_id}: settled as pending")
+        raise InvariantError(f"{record.submission_id}: recorded answer is pending")
     if answer.outcome is Outcome.COMPLETE:
-        whole = len(answer.results) == record.tasks_total
-        if not whole and not answer.result_object:
-            raise InvariantError(f"{record.submission_id}: complete, not whole")
+        is_whole = len(answer.results) == record.tasks_total
+        if not is_whole and not answer.result_object:
+            raise InvariantError(
+                f"{record.submission_id}: complete answer lacks results"
+            )
     elif answer.results:
-        raise InvariantError(f"{record.submission_id}: results without complete")
+        raise InvariantError(
+            f"{record.submission_id}: results in an answer that is not complete"
+        )
     if answer.outcome is Outcome.NOT_RUN and record.possible_starts:
-        raise InvariantError(f"{record.submission_id}: not run, but may have begun")
+        raise InvariantError(
+            f"{record.submission_id}: answered not run, but may have started"
+        )
--- a/src/cassiaturn/submission/_ticket.py
+++ b/src/cassiaturn/submission/_ticket.py
@@ -1,4 +1,4 @@
-"""Submission ids that name their home."""
+"""Tickets: submission ids that name their home."""
 
 import re
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from cassiaturn.submission._incarnation import is_incarnation
 
 TICKET_PREFIX = "t1."
-"""Every ticket starts so; ids that callers choose must not."""
+"""Prefix of all tickets; ids that callers choose must not have it."""
 
 MAX_SUBMISSION_ID_LENGTH = 160
 """Longest submission id, in characters."""
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ticket:
-    """What a ticket says; use it to find the home of a submission."""
+    """The fields of a ticket; they lead to the home of a submission."""
 
     submission_id: str
     """The ticket's text, which is the submission id."""
@@ -35,30 +35,31 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MalformedTicket:
-    """A text that starts like a ticket and is none; the submission is invalid."""
+    """A text with the prefix of a ticket that is none; its submission is invalid."""
 
     submission_id: str
     """The text."""
 
     problem: str
-    """What is wrong, for the caller."""
+    """What is wrong with it; shown to the caller."""
 
 
 class TicketIssuer:
-    """Issues tickets of one incarnation, without any write to the store.
+    """Issues the tickets of one incarnation, without any write to the store.
 
-    Validity is judged by the issuer alone, on its own monotonic clock, so the
-    clocks of hosts are never compared.
+    Only the issuer decides whether a ticket is valid, by its own monotonic clock,
+    so clocks of different hosts are never compared.
     """
 
     def __init__(
         self, *, incarnation: str, valid_for_s: float, booted_at: float = 0.0
     ) -> None:
-        """Issue for one incarnation.
+        """Create the issuer of one incarnation.
 
+        :param incarnation: incarnation that the tickets name as their home.
         :param valid_for_s: how long a ticket may open a submission, in seconds.
-        :param booted_at: monotonic time of its start, in seconds; tickets carry
-            the time since, which a successor can place on the wall clock.
+        :param booted_at: monotonic time of its start, in seconds. Tickets carry the
+            time since then, which a successor can convert to wall-clock time.
         """
         self._prefix = f"{TICKET_PREFIX}{incarnation}."
         self._incarnation = incarnation
@@ -76,7 +77,7 @@
         return f"{self._prefix}{sequence}.{int((now - self._booted_at) * _MS_PER_S)}"
 
     def valid(self, ticket: Ticket, now: float) -> bool:
-        """Whether this incarnation issued a ticket and may still open it.
+        """Return whether this incarnation issued a ticket and may still open it.
 
         :param now: the issuer's monotonic time, in seconds.
         """
@@ -89,11 +90,11 @@
 
 
 def parse_ticket(submission_id: str) -> Ticket | MalformedTicket | None:
-    """Read the ticket in a submission id.
+    """Parse a submission id as a ticket.
 
     :param submission_id: any text that a caller sent.
-    :returns: the ticket; the problem of a text that only starts like one; None
-        for an id of the caller's own choice.
+    :returns: the ticket; a :class:`MalformedTicket` if only the prefix is one of a
+        ticket; None for an id that the caller chose.
     """
     if not submission_id.startswith(TICKET_PREFIX):
         return None
--- a/src/cassiaturn/submission/tests/test_budget.py
+++ b/src/cassiaturn/submission/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The store is used within its rate, and left alone while it is down."""
+"""Rate limits, backoff and circuit breaker of the store budget."""
 
 import random
 
@@ -17,7 +17,7 @@
 )
 
 
-def budget(seed: int = 1) -> StoreBudget:
+def make_budget(seed: int = 1) -> StoreBudget:
     return StoreBudget(settings=SETTINGS, rng=random.Random(seed))
 
 
@@ -28,62 +28,63 @@
 @pytest.mark.parametrize(
     ("operation", "rate", "burst"), [("may_write", 2.0, 3), ("may_read", 10.0, 5)]
 )
-def test_the_rate_holds_whatever_is_asked(
+def test_operations_stay_within_rate_and_burst(
     operation: str, rate: float, burst: int
 ) -> None:
-    asked = budget()
+    budget = make_budget()
     seconds = 20
     allowed = sum(
-        getattr(asked, operation)(tick / 100) for tick in range(seconds * 100)
+        getattr(budget, operation)(tick / 100) for tick in range(seconds * 100)
     )
 
     assert allowed == pytest.approx(rate * seconds + burst, abs=1)
 
 
-def test_an_outage_is_probed_ever_more_rarely() -> None:
+def test_store_is_probed_rarely_in_an_outage() -> None:
     """
-    The store is down for a minute. Callers are told at once that it is, one probe
-    at a time goes out, and when it is back the next probe frees everything.
+    The store is down for a minute. Operations are refused at once, one probe at a
+    time is sent, and the first probe that succeeds closes the circuit breaker.
     """
-    asked = budget()
+    budget = make_budget()
     probes = []
     for tick in range(6000):
         now = tick / 100
-        if asked.may_read(now):
+        if budget.may_read(now):
             probes.append(now)
-            asked.failed(now)
-    assert states_of(asked) == [StoreState.OPEN]
+            budget.failed(now)
+    assert states_of(budget) == [StoreState.OPEN]
     assert len(probes) < 60 / SETTINGS.backoff_max_s * 4
 
-    assert asked.may_read(70.0)
-    assert states_of(asked) == [StoreState.HALF_OPEN]
-    assert not asked.may_read(70.0)
-    asked.succeeded(70.0)
-    assert states_of(asked) == [StoreState.CLOSED]
-    assert asked.may_read(70.0)
+    assert budget.may_read(70.0)
+    assert states_of(budget) == [StoreState.HALF_OPEN]
+    assert not budget.may_read(70.0)
+    budget.succeeded(70.0)
+    assert states_of(budget) == [StoreState.CLOSED]
+    assert budget.may_read(70.0)
 
 
-def test_instances_do_not_return_together() -> None:
-    """Three hundred instances see the store fail at the same moment."""
+def test_first_retries_of_instances_are_spread() -> None:
+    """300 instances that see the store fail at once must not retry together."""
     first_tries = set()
     for seed in range(300):
-        asked = budget(seed)
+        budget = make_budget(seed)
         for _ in range(10):
-            asked.failed(0.0)
-        tick = next(tick for tick in range(101) if asked.may_write(tick / 100))
+            budget.failed(0.0)
+        tick = next(tick for tick in range(101) if budget.may_write(tick / 100))
         first_tries.add(tick)
 
     assert len(first_tries) > 80
 
 
-def test_a_probe_without_an_end_does_not_block_for_good() -> None:
+def test_unreported_probe_does_not_block_the_store() -> None:
     """
-    A probe's caller is cancelled and reports nothing. Without a limit the store
-    would count as probed for ever, and every claim would be undetermined.
+    The caller of a probe is cancelled and never reports its end. Without a time
+    limit the probe would block the store for good, and every claim would be
+    undetermined.
     """
-    asked = budget()
-    asked.failed(0.0)
-    assert asked.may_read(10.0)
+    budget = make_budget()
+    budget.failed(0.0)
+    assert budget.may_read(10.0)
 
-    assert not asked.may_read(10.5)
-    assert asked.may_read(12.0)
+    assert not budget.may_read(10.5)
+    assert budget.may_read(12.0)
--- a/src/cassiaturn/submission/tests/test_claims.py
+++ b/src/cassiaturn/submission/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims of ids that callers choose, against a store that loses answers."""
+"""Claims of caller-chosen ids, with a store that loses answers."""
 
 import random
 from collections.abc import Sequence
@@ -22,11 +22,11 @@
     StoreSettings,
 )
 
-ME = "osu-1~18c0000000011223344"
-OTHER = "osu-2~18c0000000055667788"
+HOME = "osu-1~18c0000000011223344"
+OTHER_HOME = "osu-2~18c0000000055667788"
 
 
-class Fate(Enum):
+class WriteResult(Enum):
     ANSWERED = 0
     LOST_AFTER = 1
     LOST_BEFORE = 2
@@ -34,7 +34,7 @@
 
 
 class Store:
-    """Inserts rows all or none; an answer may be lost, an effect be late."""
+    """Inserts all rows of a batch or none; keeps batches that take effect late."""
 
     def __init__(self) -> None:
         self.rows_by_id: dict[str, ClaimRow] = {}
@@ -46,206 +46,220 @@
         self.rows_by_id.update({row.submission_id: row for row in batch.rows})
         return True
 
-    def found(self, batch: ClaimBatch) -> dict[str, ClaimRow]:
+    def find(self, batch: ClaimBatch) -> dict[str, ClaimRow]:
         ids = [row.submission_id for row in batch.rows]
         return {one: self.rows_by_id[one] for one in ids if one in self.rows_by_id}
 
 
-def ledger(incarnation: str = ME, *, seed: int = 1, max_rows: int = 8) -> ClaimLedger:
+def make_ledger(
+    incarnation: str = HOME, *, seed: int = 1, max_rows: int = 8
+) -> ClaimLedger:
     rng = random.Random(seed)
-    plenty = StoreSettings(
+    unlimited = StoreSettings(
         writes_per_s=1e6, write_burst=10**6, reads_per_s=1e6, read_burst=10**6
     )
     return ClaimLedger(
         incarnation=incarnation,
         settings=ClaimSettings(max_rows=max_rows, give_up_s=2.0),
-        budget=StoreBudget(settings=plenty, rng=rng),
+        budget=StoreBudget(settings=unlimited, rng=rng),
         rng=rng,
     )
 
 
-def write(claims: ClaimLedger, store: Store, fate: Fate, now: float) -> None:
-    batch = claims.next_batch(now)
+def write_batch(
+    ledger: ClaimLedger, store: Store, result: WriteResult, now: float
+) -> None:
+    batch = ledger.next_batch(now)
     if batch is None:
         return
-    if fate is Fate.DELAYED:
+    if result is WriteResult.DELAYED:
         store.delayed.append(batch)
-    written = fate in (Fate.ANSWERED, Fate.LOST_AFTER) and store.insert(batch)
-    if fate is not Fate.ANSWERED:
-        claims.answer_lost(batch, now)
-        reread = claims.next_reread(now)
+    written = result in (WriteResult.ANSWERED, WriteResult.LOST_AFTER) and store.insert(
+        batch
+    )
+    if result is not WriteResult.ANSWERED:
+        ledger.answer_lost(batch, now)
+        reread = ledger.next_reread(now)
         if reread is not None:
-            claims.reread(reread, store.found(reread))
+            ledger.reread(reread, store.find(reread))
     elif written:
-        claims.committed(batch)
+        ledger.committed(batch)
     else:
-        claims.conflicted(batch, store.found(batch))
+        ledger.conflicted(batch, store.find(batch))
 
 
-def test_claims_that_wait_share_a_write() -> None:
-    claims = ledger()
-    assert claims.request("a", 0.0) is None
-    first = claims.next_batch(0.0)
+def test_waiting_claims_share_one_write() -> None:
+    ledger = make_ledger()
+    assert ledger.request("a", 0.0) is None
+    first = ledger.next_batch(0.0)
     assert first is not None
     for submission_id in ("b", "c", "a"):
-        claims.request(submission_id, 0.0)
+        ledger.request(submission_id, 0.0)
 
-    assert claims.next_batch(0.0) is None
-    claims.committed(first)
-    second = claims.next_batch(0.0)
+    assert ledger.next_batch(0.0) is None
+    ledger.committed(first)
+    second = ledger.next_batch(0.0)
 
     assert second is not None
     assert [row.submission_id for row in second.rows] == ["b", "c"]
-    assert claims.resolved() == [ClaimGranted(submission_id="a")]
+    assert ledger.resolved() == [ClaimGranted(submission_id="a")]
 
 
-def test_one_taken_id_does_not_hold_up_the_rest() -> None:
+def test_taken_id_does_not_delay_other_claims() -> None:
     store = Store()
-    theirs = ClaimRow(submission_id="b", home=OTHER, token="x")
-    store.rows_by_id["b"] = theirs
-    claims = ledger()
+    taken_row = ClaimRow(submission_id="b", home=OTHER_HOME, token="x")
+    store.rows_by_id["b"] = taken_row
+    ledger = make_ledger()
     for submission_id in ("a", "b", "c"):
-        claims.request(submission_id, 0.0)
+        ledger.request(submission_id, 0.0)
 
-    write(claims, store, Fate.ANSWERED, 0.0)
-    assert claims.request("b", 0.0) == ClaimTaken(submission_id="b", home=OTHER)
-    write(claims, store, Fate.ANSWERED, 0.0)
+    write_batch(ledger, store, WriteResult.ANSWERED, 0.0)
+    assert ledger.request("b", 0.0) == ClaimTaken(submission_id="b", home=OTHER_HOME)
+    write_batch(ledger, store, WriteResult.ANSWERED, 0.0)
 
-    assert claims.request("a", 0.0) == ClaimGranted(submission_id="a")
-    assert claims.request("c", 0.0) == ClaimGranted(submission_id="c")
+    assert ledger.request("a", 0.0) == ClaimGranted(submission_id="a")
+    assert ledger.request("c", 0.0) == ClaimGranted(submission_id="c")
 
 
-@pytest.mark.parametrize("fate", [Fate.LOST_AFTER, Fate.LOST_BEFORE, Fate.DELAYED])
-def test_a_lost_answer_is_settled_by_the_token(fate: Fate) -> None:
+@pytest.mark.parametrize(
+    "result", [WriteResult.LOST_AFTER, WriteResult.LOST_BEFORE, WriteResult.DELAYED]
+)
+def test_lost_answer_is_resolved_by_the_token(result: WriteResult) -> None:
     """
-    The store loses the answer to a claim: the write took effect, did not, or does
-    so only after it was read again. Each time the caller's job is claimed once and
-    is known to be ours.
+    The answer to a claim is lost: the write took effect, did not, or takes effect
+    only after the rows were read again. In each case the id is claimed once, and
+    the claim is recognised by its token.
     """
     store = Store()
-    claims = ledger()
-    claims.request("a", 0.0)
-    write(claims, store, fate, 0.0)
+    ledger = make_ledger()
+    ledger.request("a", 0.0)
+    write_batch(ledger, store, result, 0.0)
     for batch in store.delayed:
         store.insert(batch)
-    write(claims, store, Fate.ANSWERED, 0.1)
+    write_batch(ledger, store, WriteResult.ANSWERED, 0.1)
 
-    assert claims.resolved() == [ClaimGranted(submission_id="a")]
-    assert store.rows_by_id["a"].home == ME
+    assert ledger.resolved() == [ClaimGranted(submission_id="a")]
+    assert store.rows_by_id["a"].home == HOME
 
 
-def test_an_earlier_claim_of_ours_is_not_a_new_one() -> None:
+def test_earlier_claim_of_same_incarnation_is_not_granted() -> None:
     """
-    We claimed an id, ran it and forgot its record; the caller submits it again.
-    The row names us, yet running it again would double the order.
+    An instance claimed an id, ran its job and removed the record; the caller submits
+    it again. The claim row names this instance, but a second run would be a
+    duplicate.
     """
     store = Store()
-    claims = ledger()
-    claims.request("a", 0.0)
-    write(claims, store, Fate.ANSWERED, 0.0)
-    assert claims.request("a", 0.0) == ClaimGranted(submission_id="a")
+    ledger = make_ledger()
+    ledger.request("a", 0.0)
+    write_batch(ledger, store, WriteResult.ANSWERED, 0.0)
+    assert ledger.request("a", 0.0) == ClaimGranted(submission_id="a")
 
-    claims.request("a", 500.0)
-    write(claims, store, Fate.LOST_AFTER, 500.0)
+    ledger.request("a", 500.0)
+    write_batch(ledger, store, WriteResult.LOST_AFTER, 500.0)
 
-    assert claims.resolved() == [ClaimTaken(submission_id="a", home=ME)]
+    assert ledger.resolved() == [ClaimTaken(submission_id="a", home=HOME)]
 
 
-def test_a_store_outage_ends_the_wait() -> None:
+def test_claim_is_undetermined_during_a_store_outage() -> None:
     """
-    The store is down. Callers are told within the set time that nobody can say,
-    and not that the job did not run: the write may still take effect. When it
-    did, a resubmission finds the claim to be ours and runs the job.
+    The store is down. Within the configured time the claim is undetermined, and not
+    refused, since the write may still take effect. After it did, a resubmission is
+    granted the claim by its token.
     """
     store = Store()
-    claims = ledger()
-    claims.request("a", 0.0)
-    batch = claims.next_batch(0.0)
+    ledger = make_ledger()
+    ledger.request("a", 0.0)
+    batch = ledger.next_batch(0.0)
     assert batch is not None
-    claims.answer_lost(batch, 0.5)
-    assert claims.resolved() == []
+    ledger.answer_lost(batch, 0.5)
+    assert ledger.resolved() == []
 
-    assert claims.next_reread(2.0) is not None
-    assert claims.resolved() == [ClaimUndetermined(submission_id="a")]
+    assert ledger.next_reread(2.0) is not None
+    assert ledger.resolved() == [ClaimUndetermined(submission_id="a")]
     store.insert(batch)
-    claims.reread(batch, {})
-    claims.request("a", 3.0)
-    write(claims, store, Fate.ANSWERED, 3.0)
+    ledger.reread(batch, {})
+    ledger.request("a", 3.0)
+    write_batch(ledger, store, WriteResult.ANSWERED, 3.0)
 
-    assert claims.resolved() == [ClaimGranted(submission_id="a")]
+    assert ledger.resolved() == [ClaimGranted(submission_id="a")]
 
 
-def test_a_claim_that_would_be_given_up_is_not_kept_waiting() -> None:
+def test_claim_that_would_time_out_is_undetermined_at_once() -> None:
     """
-    Own ids arrive faster than the instance's share of the store can claim them.
-    Those that would wait past the limit are told at once that nobody can say.
+    Ids arrive faster than the instance's share of the store can claim them. Claims
+    that would wait past the limit are undetermined at once.
     """
     rng = random.Random(1)
     settings = StoreSettings(writes_per_s=1.0, write_burst=1)
-    claims = ClaimLedger(
-        incarnation=ME,
+    ledger = ClaimLedger(
+        incarnation=HOME,
         settings=ClaimSettings(max_rows=4, give_up_s=2.0),
         budget=StoreBudget(settings=settings, rng=rng),
         rng=rng,
     )
-    told = [claims.request(f"order-{number}", 0.0) for number in range(20)]
+    resolutions = [ledger.request(f"order-{number}", 0.0) for number in range(20)]
 
-    assert told[:12] == [None] * 12
-    assert all(isinstance(one, ClaimUndetermined) for one in told[12:])
+    assert resolutions[:12] == [None] * 12
+    assert all(isinstance(one, ClaimUndetermined) for one in resolutions[12:])
 
 
-def test_one_claim_probes_a_store_that_is_down() -> None:
+def test_single_claim_probes_a_store_that_is_down() -> None:
     rng = random.Random(1)
     budget = StoreBudget(settings=StoreSettings(), rng=rng)
-    claims = ClaimLedger(
-        incarnation=ME, settings=ClaimSettings(), budget=budget, rng=rng
+    ledger = ClaimLedger(
+        incarnation=HOME, settings=ClaimSettings(), budget=budget, rng=rng
     )
     for _ in range(5):
         budget.failed(0.0)
 
-    assert claims.request("a", 0.0) is None
-    assert claims.request("b", 0.0) == ClaimUndetermined(submission_id="b")
-    batch = claims.next_batch(1.0)
+    assert ledger.request("a", 0.0) is None
+    assert ledger.request("b", 0.0) == ClaimUndetermined(submission_id="b")
+    batch = ledger.next_batch(1.0)
     assert batch is not None
-    claims.committed(batch)
+    ledger.committed(batch)
     budget.succeeded(1.0)
-    assert claims.request("b", 1.0) is None
+    assert ledger.request("b", 1.0) is None
 
 
-def test_an_answer_to_another_batch_stops_the_process() -> None:
-    claims = ledger()
-    claims.request("a", 0.0)
-    batch = claims.next_batch(0.0)
+def test_answer_to_a_finished_batch_raises() -> None:
+    ledger = make_ledger()
+    ledger.request("a", 0.0)
+    batch = ledger.next_batch(0.0)
     assert batch is not None
-    claims.committed(batch)
+    ledger.committed(batch)
 
     with pytest.raises(InvariantError):
-        claims.committed(batch)
+        ledger.committed(batch)
 
 
 @given(
-    fates=st.lists(st.tuples(st.booleans(), st.sampled_from(Fate)), max_size=30),
+    steps=st.lists(st.tuples(st.booleans(), st.sampled_from(WriteResult)), max_size=30),
     ids=st.lists(st.sampled_from("abcde"), max_size=12),
 )
-def test_no_id_is_claimed_by_two(
-    fates: Sequence[tuple[bool, Fate]], ids: Sequence[str]
+def test_id_is_granted_at_most_once(
+    steps: Sequence[tuple[bool, WriteResult]], ids: Sequence[str]
 ) -> None:
     store = Store()
-    ledgers = [ledger(ME, seed=1, max_rows=3), ledger(OTHER, seed=2, max_rows=3)]
-    mine: list[str] = []
-    for number, (second, fate) in enumerate(fates):
-        claims = ledgers[second]
+    ledgers = [
+        make_ledger(HOME, seed=1, max_rows=3),
+        make_ledger(OTHER_HOME, seed=2, max_rows=3),
+    ]
+    granted: list[str] = []
+    for number, (second, result) in enumerate(steps):
+        ledger = ledgers[second]
         if number < len(ids):
-            take(mine, [claims.request(ids[number], 0.0)])
-        write(claims, store, fate, 0.0)
+            add_granted(granted, [ledger.request(ids[number], 0.0)])
+        write_batch(ledger, store, result, 0.0)
         if store.delayed and number % 3 == 0:
             store.insert(store.delayed.pop())
-        take(mine, claims.resolved())
+        add_granted(granted, ledger.resolved())
 
-    assert len(mine) == len(set(mine))
+    assert len(granted) == len(set(granted))
 
 
-def take(mine: list[str], resolutions: Sequence[ClaimResolution | None]) -> None:
-    mine.extend(
+def add_granted(
+    granted: list[str], resolutions: Sequence[ClaimResolution | None]
+) -> None:
+    granted.extend(
         one.submission_id for one in resolutions if isinstance(one, ClaimGranted)
     )
--- a/src/cassiaturn/submission/tests/test_table.py
+++ b/src/cassiaturn/submission/tests/test_table.py
@@ -1,4 +1,4 @@
-"""The home's record: one final answer, and nothing started after it."""
+"""Submission table: one final answer, and no start after it."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 )
 
 HOME = "osu-1~18c0000000011223344"
-PRINT = fingerprint_of(method="a.B/C", tasks=[b"x", b"y"])
+FINGERPRINT = fingerprint_of(method="a.B/C", tasks=[b"x", b"y"])
 SETTINGS = SubmissionSettings(
     ticket_valid_s=30,
     retention_s=120,
@@ -27,7 +27,7 @@
 )
 
 
-def table() -> SubmissionTable:
+def make_table() -> SubmissionTable:
     return SubmissionTable(incarnation=HOME, settings=SETTINGS)
 
 
@@ -35,15 +35,15 @@
     return f"t1.{HOME}.{sequence}.{issued_ms}"
 
 
-def open_one(
-    rows: SubmissionTable,
+def open_submission(
+    table: SubmissionTable,
     submission_id: str,
     *,
     now: float = 0.0,
-    fingerprint: bytes = PRINT,
+    fingerprint: bytes = FINGERPRINT,
     adopted: bool = False,
 ) -> Opening:
-    return rows.open(
+    return table.open(
         submission_id=submission_id,
         fingerprint=fingerprint,
         tasks_total=2,
@@ -57,48 +57,48 @@
     return Answer(submission_id=submission_id, outcome=outcome, results=results)
 
 
-def test_a_resubmission_gets_the_first_answer() -> None:
+def test_resubmission_gets_the_first_answer() -> None:
     """
-    A caller submits, believes the job lost and submits again while it runs, and a
-    third time after its end. It is told one answer, and the tasks start once.
+    A caller believes its job lost and submits it again while it runs, and once more
+    after its end. It gets one answer, and the tasks start once.
     """
-    rows = table()
+    table = make_table()
     done = answer_of(ticket(0), Outcome.COMPLETE)
 
-    assert isinstance(open_one(rows, ticket(0)), Opened)
-    assert isinstance(open_one(rows, ticket(0)), Joined)
-    assert rows.settle(done, 1.0) == done
-    assert open_one(rows, ticket(0)) == Settled(answer=done)
-    assert rows.settle(answer_of(ticket(0), Outcome.FAILED), 2.0) == done
+    assert isinstance(open_submission(table, ticket(0)), Opened)
+    assert isinstance(open_submission(table, ticket(0)), Joined)
+    assert table.settle(done, 1.0) == done
+    assert open_submission(table, ticket(0)) == Settled(answer=done)
+    assert table.settle(answer_of(ticket(0), Outcome.FAILED), 2.0) == done
 
 
-def test_not_run_is_binding() -> None:
+def test_nothing_starts_after_not_run() -> None:
     """
-    The home refuses a submission, and the caller hears "not run". Its tasks are
-    still in a queue; when their turn comes, none may start.
+    The home refuses a submission with "not run" while its tasks are still queued.
+    None of them may start later.
     """
-    rows = table()
-    open_one(rows, ticket(0))
-    rows.settle(answer_of(ticket(0), Outcome.NOT_RUN), 1.0)
+    table = make_table()
+    open_submission(table, ticket(0))
+    table.settle(answer_of(ticket(0), Outcome.NOT_RUN), 1.0)
 
-    assert rows.begin(ticket(0)) is False
-    assert isinstance(open_one(rows, ticket(0)), Settled)
+    assert table.begin(ticket(0)) is False
+    assert isinstance(open_submission(table, ticket(0)), Settled)
 
 
-def test_not_run_needs_every_start_denied() -> None:
-    rows = table()
-    open_one(rows, ticket(0))
-    assert rows.begin(ticket(0))
+def test_not_run_requires_every_start_refused() -> None:
+    table = make_table()
+    open_submission(table, ticket(0))
+    assert table.begin(ticket(0))
 
     with pytest.raises(InvariantError):
-        rows.settle(answer_of(ticket(0), Outcome.NOT_RUN), 1.0)
-    rows.refused(ticket(0))
+        table.settle(answer_of(ticket(0), Outcome.NOT_RUN), 1.0)
+    table.refused(ticket(0))
     not_run = answer_of(ticket(0), Outcome.NOT_RUN)
-    assert rows.settle(not_run, 1.0) == not_run
+    assert table.settle(not_run, 1.0) == not_run
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "inconsistent",
     [
         Answer(submission_id=ticket(0), outcome=Outcome.COMPLETE, results=(b"r",)),
         Answer(submission_id=ticket(0), outcome=Outcome.FAILED, results=(b"r",)),
@@ -106,30 +106,30 @@
         Answer(submission_id=ticket(1), outcome=Outcome.FAILED),
     ],
 )
-def test_an_answer_that_breaks_a_promise_is_not_recorded(broken: Answer) -> None:
-    rows = table()
-    open_one(rows, ticket(0))
+def test_inconsistent_answer_raises(inconsistent: Answer) -> None:
+    table = make_table()
+    open_submission(table, ticket(0))
 
     with pytest.raises(InvariantError):
-        rows.settle(broken, 1.0)
+        table.settle(inconsistent, 1.0)
 
 
-def test_an_unknown_answer_gives_way_to_a_final_one() -> None:
-    rows = table()
-    open_one(rows, ticket(0))
-    rows.settle(answer_of(ticket(0), Outcome.UNKNOWN), 1.0)
+def test_final_answer_replaces_unknown() -> None:
+    table = make_table()
+    open_submission(table, ticket(0))
+    table.settle(answer_of(ticket(0), Outcome.UNKNOWN), 1.0)
 
-    assert isinstance(open_one(rows, ticket(0)), Joined)
+    assert isinstance(open_submission(table, ticket(0)), Joined)
     done = answer_of(ticket(0), Outcome.COMPLETE)
-    assert rows.settle(done, 2.0) == done
+    assert table.settle(done, 2.0) == done
 
 
-def test_another_request_under_an_id_learns_nothing() -> None:
-    rows = table()
-    open_one(rows, ticket(0))
-    rows.settle(answer_of(ticket(0), Outcome.COMPLETE), 1.0)
+def test_different_request_with_same_id_is_mismatched() -> None:
+    table = make_table()
+    open_submission(table, ticket(0))
+    table.settle(answer_of(ticket(0), Outcome.COMPLETE), 1.0)
 
-    opening = open_one(rows, ticket(0), fingerprint=b"other")
+    opening = open_submission(table, ticket(0), fingerprint=b"other")
 
     assert opening == Mismatched(submission_id=ticket(0))
 
@@ -138,78 +138,78 @@
     ("now", "outcome"),
     [(31.0, Outcome.NOT_RUN), (119.0, Outcome.NOT_RUN), (120.0, Outcome.UNKNOWN)],
 )
-def test_a_late_ticket_opens_nothing(now: float, outcome: Outcome) -> None:
+def test_expired_ticket_opens_nothing(now: float, outcome: Outcome) -> None:
     """
-    A resubmission arrives after its ticket's time. While a record would still be
-    kept, its absence proves "not run"; later nobody can say.
+    A submission arrives after its ticket expired. While a record would still be
+    kept, its absence proves "not run"; later the answer is "unknown".
     """
-    opening = open_one(table(), ticket(0), now=now)
+    opening = open_submission(make_table(), ticket(0), now=now)
 
     assert isinstance(opening, Expired)
     assert (opening.answer.outcome, opening.answer.reason) == (outcome, Reason.EXPIRED)
 
 
 @pytest.mark.parametrize(
-    ("settled", "told"),
+    ("settled", "expected"),
     [(Outcome.COMPLETE, Outcome.UNKNOWN), (Outcome.NOT_RUN, Outcome.NOT_RUN)],
 )
-def test_a_record_evicted_early_starts_nothing_again(
-    settled: Outcome, told: Outcome
+def test_evicted_submission_does_not_start_again(
+    settled: Outcome, expected: Outcome
 ) -> None:
     """
-    The table is full of settled jobs, and the oldest makes room. Its caller
-    resubmits in the ticket's time; a new row would start the tasks again.
+    The table is full of settled jobs, and the oldest record is evicted. Its caller
+    resubmits before the ticket expires; a new record would start the tasks again.
     """
-    rows = table()
+    table = make_table()
     for sequence in range(3):
         submission_id = ticket(sequence, issued_ms=sequence)
-        open_one(rows, submission_id, now=1.0)
-        rows.settle(answer_of(submission_id, settled), 1.0)
-    assert isinstance(open_one(rows, ticket(3, issued_ms=3), now=1.0), Opened)
-    assert rows.get(ticket(0)) is None
+        open_submission(table, submission_id, now=1.0)
+        table.settle(answer_of(submission_id, settled), 1.0)
+    assert isinstance(open_submission(table, ticket(3, issued_ms=3), now=1.0), Opened)
+    assert table.get(ticket(0)) is None
 
-    opening = open_one(rows, ticket(0), now=2.0)
+    opening = open_submission(table, ticket(0), now=2.0)
 
     assert isinstance(opening, Expired)
-    assert opening.answer.outcome is told
+    assert opening.answer.outcome is expected
 
 
-def test_a_full_table_refuses_for_good() -> None:
-    rows = table()
+def test_refusal_by_a_full_table_is_final() -> None:
+    table = make_table()
     for sequence in range(3):
-        open_one(rows, ticket(sequence))
+        open_submission(table, ticket(sequence))
 
-    opening = open_one(rows, ticket(3))
+    opening = open_submission(table, ticket(3))
 
     assert isinstance(opening, Settled)
     assert opening.answer.outcome is Outcome.NOT_RUN
     assert opening.answer.reason is Reason.OVERLOAD
-    rows.settle(answer_of(ticket(0), Outcome.FAILED), 1.0)
-    again = open_one(rows, ticket(3), now=2.0)
+    table.settle(answer_of(ticket(0), Outcome.FAILED), 1.0)
+    again = open_submission(table, ticket(3), now=2.0)
     assert isinstance(again, Settled | Expired)
     assert again.answer.outcome is Outcome.NOT_RUN
 
 
 def test_results_are_offloaded_and_memory_is_bounded() -> None:
     """
-    Answers of several jobs fill the memory. Large ones go to the object store at
-    once, others when half is used, oldest first; until they are there, new jobs
-    are refused. A resubmission is told where the results are.
+    Results fill the memory. Large ones go to the object store at once, others when
+    half of the memory is used, oldest first; until they are stored, new jobs are
+    refused. A resubmission gets the key of the stored results.
     """
-    rows = table()
-    open_one(rows, ticket(0))
-    rows.settle(answer_of(ticket(0), Outcome.COMPLETE, size=50), 1.0)
-    refused = open_one(rows, ticket(1))
+    table = make_table()
+    open_submission(table, ticket(0))
+    table.settle(answer_of(ticket(0), Outcome.COMPLETE, size=50), 1.0)
+    refused = open_submission(table, ticket(1))
     assert isinstance(refused, Settled)
 
-    (offload,) = rows.to_offload(1.0)
-    assert rows.to_offload(1.0) == []
-    rows.offload_failed(ticket(0))
-    assert [one.submission_id for one in rows.to_offload(1.0)] == [ticket(0)]
-    rows.offloaded(ticket(0), offload.object_key)
+    (offload,) = table.to_offload(1.0)
+    assert table.to_offload(1.0) == []
+    table.offload_failed(ticket(0))
+    assert [one.submission_id for one in table.to_offload(1.0)] == [ticket(0)]
+    table.offloaded(ticket(0), offload.object_key)
 
-    assert rows.result_bytes == 0
-    settled = open_one(rows, ticket(0))
+    assert table.result_bytes == 0
+    settled = open_submission(table, ticket(0))
     assert isinstance(settled, Settled)
     assert settled.answer.result_object == offload.object_key
     assert settled.answer.outcome is Outcome.COMPLETE
@@ -217,90 +217,91 @@
 
 
 def test_small_results_are_offloaded_oldest_first() -> None:
-    rows = table()
+    table = make_table()
     for sequence in range(3):
-        open_one(rows, ticket(sequence))
+        open_submission(table, ticket(sequence))
         done = answer_of(ticket(sequence), Outcome.COMPLETE, size=15)
-        rows.settle(done, 1.0)
+        table.settle(done, 1.0)
 
-    moved = [one.submission_id for one in rows.to_offload(1.0)]
+    moved = [one.submission_id for one in table.to_offload(1.0)]
 
     assert moved == [ticket(0), ticket(1)]
-    assert rows.result_bytes == 90
+    assert table.result_bytes == 90
 
 
-def test_rows_end_with_their_retention() -> None:
-    rows = table()
-    open_one(rows, ticket(0))
-    open_one(rows, ticket(1))
-    rows.settle(answer_of(ticket(0), Outcome.COMPLETE), 1.0)
+def test_records_are_removed_after_their_retention() -> None:
+    table = make_table()
+    open_submission(table, ticket(0))
+    open_submission(table, ticket(1))
+    table.settle(answer_of(ticket(0), Outcome.COMPLETE), 1.0)
 
-    assert rows.expire(120.9) == 0
-    assert rows.expire(121.0) == 1
-    assert (len(rows.records_by_id), rows.running, rows.result_bytes) == (1, 1, 0)
+    assert table.expire(120.9) == 0
+    assert table.expire(121.0) == 1
+    assert (len(table.records_by_id), table.running, table.result_bytes) == (1, 1, 0)
 
 
-def test_a_ticket_of_another_home_is_never_opened() -> None:
+def test_ticket_of_another_home_raises() -> None:
     with pytest.raises(InvariantError):
-        open_one(table(), "t1.osu-2~18c0000000011223344.0.0")
+        open_submission(make_table(), "t1.osu-2~18c0000000011223344.0.0")
 
 
-def test_a_successor_accepts_a_submission_once() -> None:
+def test_successor_adopts_a_submission_once() -> None:
     """
-    A successor ran a dead home's job, and forgot the row after its retention. A
-    late resubmission finds no row; the targets of the dead home know nothing of
-    the successor's own runs, so it must not decide again.
+    A successor ran a job of a dead home, and removed its record after the retention.
+    A late resubmission finds no record. Targets know only the dead home's runs of the
+    job, not the successor's own, so adopting it again would run it twice.
     """
-    rows = table()
+    table = make_table()
     other = "t1.osu-2~18c0000000011223344.0.0"
-    assert isinstance(open_one(rows, other, adopted=True), Opened)
-    rows.settle(answer_of(other, Outcome.COMPLETE), 1.0)
-    rows.expire(1000.0)
+    assert isinstance(open_submission(table, other, adopted=True), Opened)
+    table.settle(answer_of(other, Outcome.COMPLETE), 1.0)
+    table.expire(1000.0)
 
-    opening = open_one(rows, other, now=1000.0, adopted=True)
+    opening = open_submission(table, other, now=1000.0, adopted=True)
 
     assert isinstance(opening, Expired)
     assert opening.answer.outcome is Outcome.UNKNOWN
     assert opening.answer.ran is Ran.MAYBE
 
 
-def test_a_full_successor_does_not_call_begun_work_not_run() -> None:
+def test_full_successor_still_adopts_a_job() -> None:
     """
-    A home dies with one task of a job done. Its successor is full; a refusal as
-    "not run" would tell the caller to order again what has been shipped.
+    A home dies with one task of a job done, and the table of its successor is full.
+    With "not run" as the answer, the caller would repeat work that was already done.
     """
-    rows = table()
+    table = make_table()
     for sequence in range(3):
-        open_one(rows, ticket(sequence))
+        open_submission(table, ticket(sequence))
 
     other = "t1.osu-2~18c0000000011223344.0.0"
 
-    assert isinstance(open_one(rows, other, adopted=True), Opened)
+    assert isinstance(open_submission(table, other, adopted=True), Opened)
 
 
-def test_a_successor_never_calls_begun_work_not_run() -> None:
+def test_successor_answers_failed_instead_of_not_run() -> None:
     """
-    A home dies with one task of a job begun. Its successor takes the job, and then
-    refuses it: its tenant is gone, or its deadline passed before another start.
+    A home dies with one task of a job begun. Its successor adopts the job and then
+    refuses it, since its tenant was removed or its deadline passed before another
+    start. "Not run" would be a wrong answer.
     """
-    rows = table()
+    table = make_table()
     other = "t1.osu-2~18c0000000011223344.0.0"
-    open_one(rows, other, adopted=True)
-    assert rows.begin(other)
-    rows.refused(other)
+    open_submission(table, other, adopted=True)
+    assert table.begin(other)
+    table.refused(other)
 
-    settled = rows.settle(answer_of(other, Outcome.NOT_RUN), 1.0)
+    settled = table.settle(answer_of(other, Outcome.NOT_RUN), 1.0)
 
     assert (settled.outcome, settled.ran) == (Outcome.FAILED, Ran.MAYBE)
-    assert open_one(rows, other, adopted=True) == Settled(answer=settled)
+    assert open_submission(table, other, adopted=True) == Settled(answer=settled)
 
 
-def test_fingerprints_tell_the_borders_of_tasks() -> None:
-    prints = {
+def test_fingerprint_depends_on_task_boundaries() -> None:
+    fingerprints = {
         fingerprint_of(method="m", tasks=[b"ab"]),
         fingerprint_of(method="m", tasks=[b"a", b"b"]),
         fingerprint_of(method="ma", tasks=[b"b"]),
         fingerprint_of(method="m", tasks=[b"b", b"a"]),
     }
 
-    assert len(prints) == 4
+    assert len(fingerprints) == 4
--- a/src/cassiaturn/submission/tests/test_ticket.py
+++ b/src/cassiaturn/submission/tests/test_ticket.py
@@ -1,4 +1,4 @@
-"""Tickets: what is issued is read back, and any other text is an error value."""
+"""Tickets: issued ones parse, and other texts give an error value."""
 
 import random
 
@@ -21,7 +21,7 @@
 HOME = "osu-1~18c0000000011223344"
 
 
-def issuer(incarnation: str = HOME) -> TicketIssuer:
+def make_issuer(incarnation: str = HOME) -> TicketIssuer:
     return TicketIssuer(incarnation=incarnation, valid_for_s=30.0)
 
 
@@ -30,12 +30,14 @@
     boot_ms=st.integers(min_value=0, max_value=2**48),
     now=st.floats(min_value=0, max_value=1e8),
 )
-def test_a_ticket_names_its_home(instance_id: str, boot_ms: int, now: float) -> None:
+def test_issued_ticket_names_its_home(
+    instance_id: str, boot_ms: int, now: float
+) -> None:
     home = new_incarnation(
         instance_id=instance_id, boot_ms=boot_ms, rng=random.Random(1)
     )
 
-    ticket = parse_ticket(issuer(home).issue(now))
+    ticket = parse_ticket(make_issuer(home).issue(now))
 
     assert isinstance(ticket, Ticket)
     assert (ticket.home, ticket.sequence) == (home, 0)
@@ -45,7 +47,7 @@
 
 
 @given(st.text(max_size=200))
-def test_no_text_raises(text: str) -> None:
+def test_parsing_never_raises(text: str) -> None:
     assert parse_ticket("t1." + text) is not None
     if not text.startswith("t1."):
         assert parse_ticket(text) is None
@@ -64,7 +66,7 @@
         f"t1.{HOME}.1." + "9" * MAX_SUBMISSION_ID_LENGTH,
     ],
 )
-def test_a_text_like_a_ticket_is_an_error_value(text: str) -> None:
+def test_malformed_ticket_is_an_error_value(text: str) -> None:
     assert isinstance(parse_ticket(text), MalformedTicket)
 
 
@@ -79,18 +81,18 @@
         ("t1.osu-2~18c0000000011223344.0.10000", 10.0, False),
     ],
 )
-def test_only_an_own_ticket_in_time_is_valid(
+def test_ticket_is_valid_for_its_issuer_in_time_only(
     text: str, now: float, valid: bool
 ) -> None:
-    mine = issuer()
-    mine.issue(10.0)
+    issuer = make_issuer()
+    issuer.issue(10.0)
     ticket = parse_ticket(text)
     assert isinstance(ticket, Ticket)
 
-    assert mine.valid(ticket, now) is valid
+    assert issuer.valid(ticket, now) is valid
 
 
 @pytest.mark.parametrize("instance_id", ["", "a.b", "a~b", "x" * 49, "é"])
-def test_an_instance_id_that_a_ticket_cannot_carry_is_refused(instance_id: str) -> None:
+def test_invalid_instance_id_raises(instance_id: str) -> None:
     with pytest.raises(ValueError, match="instance_id"):
         new_incarnation(instance_id=instance_id, boot_ms=1, rng=random.Random(1))
