--- a/src/cassiaturn/membership/__init__.py
+++ b/src/cassiaturn/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances are there, who hears whom, and who holds which target."""
+"""Membership: live instances, heartbeat links, and the holders of targets."""
 
 from cassiaturn.membership._holders import holder_of, holders_by_target
 from cassiaturn.membership._links import links_of
--- a/src/cassiaturn/membership/_circle.py
+++ b/src/cassiaturn/membership/_heartbeat_peers.py
@@ -1,4 +1,7 @@
-"""Whom an instance exchanges heartbeats with now, kept until something changes."""
+"""Caches the instances that this one exchanges heartbeats with.
+
+They are needed many times a second and change only when a member does.
+"""
 
 from collections.abc import Collection, Mapping
 
@@ -6,49 +9,46 @@
 from cassiaturn.membership._rows import MemberRow
 
 
-class Circle:
-    """Links by the rule of :func:`links_of`, and members under probe.
-
-    Both are wanted many times a second and change with the members only.
-    """
+class HeartbeatPeers:
+    """Caches the links of :func:`links_of`, and members that need a heartbeat."""
 
     def __init__(self, *, near_links: int) -> None:
         self._near_links = near_links
         self._links: Collection[str] | None = None
-        self._members: Collection[str] | None = None
+        self._peer_ids: Collection[str] | None = None
 
     @property
     def is_stale(self) -> bool:
-        """Whether the links are to be found anew."""
+        """Whether the links have to be computed again."""
         return self._links is None
 
-    def relink(self) -> None:
-        """Find the links anew: a member came, went, or moved."""
+    def invalidate_links(self) -> None:
+        """Drop the cached links after a member joined, left or changed its domain."""
         self._links = None
-        self._members = None
+        self._peer_ids = None
 
-    def review(self) -> None:
-        """Find anew who is under probe, or wants to hear us."""
-        self._members = None
+    def invalidate_peers(self) -> None:
+        """Drop the cached peers after a change of probes or scheduled heartbeats."""
+        self._peer_ids = None
 
-    def members(
+    def peer_ids(
         self, me: MemberRow, members_by_id: Mapping[str, MemberRow]
     ) -> Collection[str]:
         """Return ids of the instances to exchange heartbeats with."""
-        if self._members is None:
-            asked = {
+        if self._peer_ids is None:
+            extra_ids = {
                 instance_id
                 for instance_id, row in members_by_id.items()
-                if row.owes_answer
+                if row.needs_heartbeat
                 or (row.gone_at is None and row.probed_since is not None)
             }
-            self._members = sorted(asked.union(self.links(me, members_by_id)))
-        return self._members
+            self._peer_ids = sorted(extra_ids.union(self.links(me, members_by_id)))
+        return self._peer_ids
 
     def links(
         self, me: MemberRow, members_by_id: Mapping[str, MemberRow]
     ) -> Collection[str]:
-        """Return ids of the instances linked to this one by the rule."""
+        """Return ids of the instances linked to this one, by :func:`links_of`."""
         if self._links is None:
             domains = {
                 instance_id: row.facts.failure_domain
--- a/src/cassiaturn/membership/_holders.py
+++ b/src/cassiaturn/membership/_holders.py
@@ -1,12 +1,14 @@
-"""Which instance holds which target, from the live instances alone.
+"""Assigns targets to instances by bounded rendezvous hashing.
 
-Load pattern: two or three instances and six to eight targets a failure domain.
-Plain rendezvous hashing often leaves one instance with twice its share there, and
-its queue grows while others have free slots. Bounded to the ceiling of the mean,
-the largest share differs from the smallest by what division forces, or one more.
+Load pattern: two or three instances and six to eight targets per failure domain.
+With plain rendezvous hashing, one instance often gets twice its share there, and its
+queue grows while others have free slots. Each instance is therefore limited to the
+mean number of targets, rounded up; the largest and the smallest share then differ by
+what the division makes unavoidable, or by one more.
 
-Ownership is for efficiency only: for a moment two instances may hold a target,
-which costs refused starts and no promise, since the target enforces its slots.
+The assignment depends on the live instances only. It serves efficiency, not safety:
+for a moment two instances may hold a target, which costs refused starts but breaks no
+guarantee, since the target enforces its slots.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,10 +17,11 @@
 
 
 def holder_of(target_id: str, instances: Collection[str]) -> str | None:
-    """Return the instance of the greatest weight for one target.
+    """Return the instance with the greatest weight for one target.
 
+    :param target_id: the target.
     :param instances: ids of live instances in the target's failure domain.
-    :returns: None without any instance.
+    :returns: id of the instance, or None if there is none.
     """
     return max(instances, key=lambda one: _weight(target_id, one), default=None)
 
@@ -26,10 +29,11 @@
 def holders_by_target(
     target_ids: Collection[str], live_instances: Collection[str]
 ) -> Mapping[str, str]:
-    """Share targets out evenly, the same on every instance with an equal view.
+    """Assign targets evenly; instances with the same view get the same result.
 
-    Targets choose in the order of their weights, so that the strongest bindings
-    stay when an instance comes or goes; a full instance is passed over.
+    Pairs of target and instance are taken in descending order of weight, so that the
+    pairs of greatest weight stay when an instance joins or leaves. An instance that
+    has its share is skipped.
 
     :param target_ids: targets of one failure domain.
     :param live_instances: ids of instances there that may hold targets.
@@ -37,8 +41,8 @@
     """
     if not live_instances:
         return {}
-    room = -(-len(target_ids) // len(live_instances))
-    bindings = sorted(
+    max_held = -(-len(target_ids) // len(live_instances))
+    weighted_pairs = sorted(
         (
             (_weight(target_id, instance_id), target_id, instance_id)
             for target_id in target_ids
@@ -48,8 +52,8 @@
     )
     held_by_instance = dict.fromkeys(live_instances, 0)
     holders: dict[str, str] = {}
-    for _, target_id, instance_id in bindings:
-        if target_id in holders or held_by_instance[instance_id] >= room:
+    for _, target_id, instance_id in weighted_pairs:
+        if target_id in holders or held_by_instance[instance_id] >= max_held:
             continue
         holders[target_id] = instance_id
         held_by_instance[instance_id] += 1
--- a/src/cassiaturn/membership/_rows.py
+++ b/src/cassiaturn/membership/_rows.py
@@ -1,4 +1,4 @@
-"""Members as rows of a table, and what one tells about itself."""
+"""Rows of the membership table, and the contents of a heartbeat."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -9,20 +9,20 @@
 
 
 class MemberState(Enum):
-    """What is believed of a member, and what that stops."""
+    """State of a member as seen from here, and what it restricts."""
 
     STARTING = "starting"
-    """It sends no work yet and holds no target; nothing is spilled to it."""
+    """It holds no target, sends no work and gets no spilled tasks yet."""
 
     READY = "ready"
-    """Nothing is stopped."""
+    """Nothing is restricted."""
 
     LEAVING = "leaving"
-    """It holds targets no more and gets no spilled tasks; what it has goes on."""
+    """It holds no targets any more and gets no spilled tasks; it finishes its work."""
 
     SUSPECTED = "suspected"
-    """It gets no spilled tasks. It keeps its targets, so that a short silence
-    moves nothing, and it is probed until heard or gone."""
+    """It gets no spilled tasks. It keeps its targets, so that a short silence moves
+    none of them, and it is probed until it is heard or gone."""
 
     GONE = "gone"
     """Its targets move to others, and a takeover of its submissions may begin."""
@@ -30,43 +30,43 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberFacts:
-    """What a member tells about itself in a heartbeat."""
+    """What a member reports of itself in a heartbeat."""
 
     instance_id: str
-    """Stays through restarts."""
+    """Id of the instance, the same after a restart."""
 
     incarnation: str
-    """One life of its process."""
+    """Name of this run of its process."""
 
     failure_domain: str
-    """Where it runs."""
+    """Failure domain that it runs in."""
 
     state: MemberState
-    """STARTING, READY or LEAVING; nobody says of itself that it is suspected."""
+    """STARTING, READY or LEAVING; no member reports itself as suspected or gone."""
 
     configuration_version: int = 0
-    """Shared configuration in force there."""
+    """Version of the shared configuration in force there."""
 
     slots: int = 0
     """Slots of the targets that it holds."""
 
     free_slots: int = 0
-    """Those free."""
+    """Free slots among them."""
 
     queued: int = 0
-    """Tasks that wait there."""
+    """Tasks queued there."""
 
     expected_wait_ms: int = 0
-    """Time that a new task would wait there, in milliseconds."""
+    """Expected wait of a new task there, in milliseconds."""
 
     suspected: Sequence[str] = ()
-    """Incarnations that it cannot hear."""
+    """Incarnations that it probes, since it or another member cannot hear them."""
 
     @classmethod
     def from_message(cls, message: pb.Heartbeat) -> "MemberFacts":
-        """Return the facts that a heartbeat carries.
+        """Return the facts in a heartbeat message.
 
-        :raises ValueError: its state is unknown here.
+        :raises ValueError: the state in the message is unknown.
         """
         state = _STATES_BY_NUMBER.get(int(message.state))
         if state is None:
@@ -90,38 +90,41 @@
     """One instance as seen from here, in its newest known incarnation."""
 
     facts: MemberFacts
-    """What it told last; of the platform's list alone, only its name is known."""
+    """Its last heartbeat. Of a member known from the platform's list alone, only the
+    instance id and failure domain are set."""
 
     heard_at: float | None = None
-    """Time of the last frame from it, in seconds; None: never heard."""
+    """Monotonic time of the last frame from it, in seconds; None if there was none."""
 
     sent_at: float | None = None
-    """Time of the last frame to it, in seconds."""
+    """Monotonic time of the last heartbeat to it, in seconds; None if one is due."""
 
     linked_at: float | None = None
-    """Since when it is a neighbour, in seconds; None: it is none."""
+    """Monotonic time since which it is a neighbour, in seconds; None if it is not."""
 
     refused_at: float | None = None
-    """Time at which its address refused a connection first, in seconds."""
+    """Monotonic time at which its address first refused a connection, in seconds."""
 
     probed_since: float | None = None
-    """Since when it is asked to speak although it is none; None: it is not."""
+    """Monotonic time from which its silence counts as a probed member, neighbour or
+    not, in seconds; None if it is not probed."""
 
-    owes_answer: bool = False
-    """Whether it is to be spoken to once: it asked, or may be back after a cut."""
+    needs_heartbeat: bool = False
+    """Whether it is to be sent one heartbeat, since it probes this instance or may be
+    reachable again after a network partition."""
 
     gone_at: float | None = None
-    """Time at which it was taken for gone, in seconds."""
+    """Monotonic time at which it was declared gone, in seconds."""
 
     suspected: bool = False
     """Whether it is silent, or its link broke."""
 
     listed_leaving: bool = False
-    """Whether the platform's list says that its host is about to go."""
+    """Whether the platform's list says that its host is about to be removed."""
 
     @property
     def state(self) -> MemberState:
-        """What is believed of it."""
+        """State of the member as seen from here."""
         if self.gone_at is not None:
             return MemberState.GONE
         if self.suspected:
@@ -133,51 +136,53 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostHint:
-    """An entry of the platform's list of hosts, which lags."""
+    """An entry of the platform's list of hosts, which may be out of date."""
 
     instance_id: str
     """The instance on that host."""
 
     failure_domain: str
-    """Where it runs."""
+    """Failure domain that it runs in."""
 
     leaving: bool = False
-    """Whether the platform is about to take the host away."""
+    """Whether the platform is about to remove the host."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberChange:
-    """A member's state became another one, or a newer incarnation took over."""
+    """A change of a member's state, or its replacement by another incarnation."""
 
     instance_id: str
-    """The member."""
+    """Id of the instance."""
 
     incarnation: str
-    """The life of it that changed; empty for one known by the list alone."""
+    """Incarnation that changed; empty if known from the platform's list alone."""
 
     before: MemberState | None
-    """State until now; None: not known before."""
+    """State before the change; None if it was not known."""
 
     after: MemberState
-    """State from now on."""
+    """State after the change."""
 
     superseded_by: str = ""
-    """Later life of the same instance, which proves that this one has ended."""
+    """Later incarnation of the same instance, which proves that this one ended;
+    empty if there is none."""
 
 
 def replaces(incarnation: str, row: MemberRow) -> bool:
-    """Whether another life of an instance takes the place of the known one.
+    """Return whether another incarnation of an instance replaces the known one.
 
-    A late frame of an earlier life must not: the living one would be taken for
-    dead, and its submissions taken over. After a clock that went back the later
-    life has the lower start time, and is accepted once the known one is gone.
+    A late frame of an earlier incarnation must not replace it: the running one would
+    be considered dead, and its submissions taken over. If the clock of the host was
+    set back, the later incarnation has the lower start time; it is accepted once the
+    known one is gone.
     """
     known = row.facts.incarnation
     return row.gone_at is not None or booted_ms(incarnation) > booted_ms(known)
 
 
-def asked_incarnations(rows: Iterable[MemberRow]) -> Sequence[str]:
-    """Return the incarnations that are asked to speak and may yet live."""
+def probed_incarnations(rows: Iterable[MemberRow]) -> Sequence[str]:
+    """Return the known incarnations that are probed and not gone."""
     return [
         row.facts.incarnation
         for row in rows
@@ -187,18 +192,18 @@
     ]
 
 
-def holding_instances(rows: Iterable[MemberRow], failure_domain: str) -> Sequence[str]:
+def eligible_holders(rows: Iterable[MemberRow], failure_domain: str) -> Sequence[str]:
     """Return the instances of a failure domain that may hold targets, sorted."""
     return sorted(
         row.facts.instance_id
         for row in rows
         if row.facts.failure_domain == failure_domain
-        and row.state in _HOLDING
+        and row.state in _HOLDER_STATES
         and row.facts.state is MemberState.READY
     )
 
 
-_HOLDING = frozenset({MemberState.READY, MemberState.SUSPECTED})
+_HOLDER_STATES = frozenset({MemberState.READY, MemberState.SUSPECTED})
 
 _STATES_BY_NUMBER = {
     int(pb.INSTANCE_STATE_STARTING): MemberState.STARTING,
--- a/src/cassiaturn/membership/_table.py
+++ b/src/cassiaturn/membership/_table.py
@@ -1,9 +1,12 @@
-"""Members by instance, from heartbeats first and the platform's list last.
+"""Tracks the state of the other instances, mainly by their heartbeats.
 
-Load pattern: 300 hosts are replaced on an ordinary day, 8 fail, and links break
-for minutes. Silence alone never removes a member at once: it is suspected first,
-probed, and can refute by any frame. What is decided here is soft. A wrong belief
-costs refused starts or a takeover of a living instance, which fences keep safe.
+Load pattern: 300 hosts are replaced on an ordinary day, 8 fail, and links break for
+minutes. Silence alone never removes a member at once: it is suspected and probed
+first, and any frame from it ends the suspicion. The platform's list of hosts is only
+a hint. Without the suspicion, each short silence would move targets and work.
+
+The states are not authoritative. A wrong one costs refused starts, or the takeover of
+a running instance, which fences keep safe.
 """
 
 import math
@@ -11,66 +14,72 @@
 from collections.abc import Collection, Mapping, Sequence
 from types import MappingProxyType
 
-from cassiaturn.membership._changes import ChangeLog
-from cassiaturn.membership._circle import Circle
+from cassiaturn.membership._change_log import ChangeLog
+from cassiaturn.membership._failure_detector import (
+    evaluate,
+    exclude_pause,
+    expire_silence,
+    is_expired,
+    record_link,
+    suspect,
+)
+from cassiaturn.membership._heartbeat_peers import HeartbeatPeers
 from cassiaturn.membership._rows import (
     HostHint,
     MemberChange,
     MemberFacts,
     MemberRow,
     MemberState,
-    asked_incarnations,
-    holding_instances,
+    eligible_holders,
+    probed_incarnations,
     replaces,
 )
 from cassiaturn.membership._settings import MembershipSettings
-from cassiaturn.membership._silence import (
-    end_patience,
-    forgive,
-    is_stale,
-    judge,
-    note_link,
-    suspect,
-)
 from cassiaturn.submission import instance_of
 
 
 class MembershipTable:
-    """Rows of the other instances by id; this instance's own row stands apart."""
+    """Rows of the other instances by id; the row of this instance is kept apart."""
 
     def __init__(
         self, *, me: MemberRow, settings: MembershipSettings, rng: random.Random
     ) -> None:
+        """Create a table without other members.
+
+        :param me: row of this instance.
+        :param settings: intervals and timeouts of heartbeats.
+        :param rng: source of jitter, and of the gone member to contact.
+        """
         self._me = me
         self._settings = settings
         self._rng = rng
         self._members_by_id: dict[str, MemberRow] = {}
         self._ids_by_incarnation: dict[str, str] = {}
         self._log = ChangeLog()
-        self._circle = Circle(near_links=settings.near_links)
-        self._judge_at = 0.0
+        self._peers = HeartbeatPeers(near_links=settings.near_links)
+        self._evaluate_at = 0.0
         self._retry_at = 0.0
-        self._urgent = False
+        self._send_now = False
         self._ticked_at: float | None = None
 
     @property
     def members_by_id(self) -> Mapping[str, MemberRow]:
-        """Rows of the others, for reading only."""
+        """Rows of the other instances, as a read-only view."""
         return MappingProxyType(self._members_by_id)
 
     @property
     def me(self) -> MemberRow:
-        """The own row; tell changes by :meth:`describe`."""
+        """Row of this instance; change it by :meth:`describe`."""
         return self._me
 
     def describe(self, facts: MemberFacts) -> None:
-        """Set what this instance tells about itself."""
+        """Set what this instance reports of itself in heartbeats."""
         self._me.facts = facts
 
     def observe(self, facts: MemberFacts, now: float) -> None:
-        """Take in a heartbeat.
+        """Process a heartbeat.
 
-        :param facts: what the sender told.
+        :param facts: contents of the heartbeat.
         :param now: monotonic time, in seconds.
         """
         if facts.instance_id == self._me.facts.instance_id:
@@ -79,56 +88,60 @@
         if row is None:
             row = MemberRow(facts=facts)
             self._members_by_id[facts.instance_id] = row
-            self._circle.relink()
-            self._look_again()
+            self._peers.invalidate_links()
+            self._evaluate_soon()
         elif row.facts.incarnation != facts.incarnation:
             if not replaces(facts.incarnation, row):
                 return
             self._replace(row, facts)
         elif row.facts.failure_domain != facts.failure_domain:
-            self._circle.relink()
-            self._look_again()
+            self._peers.invalidate_links()
+            self._evaluate_soon()
         if row.facts.state is not facts.state:
-            self._look_again()
+            self._evaluate_soon()
         row.facts = facts
         self._ids_by_incarnation[facts.incarnation] = facts.instance_id
-        self._clear(row, now)
-        self._note_probe(row, now)
+        self._mark_heard(row, now)
+        self._reply_to_probe(row, now)
         for incarnation in facts.suspected:
-            self._hear_rumour(incarnation, now)
+            self._apply_suspicion(incarnation, now)
 
     def heard(self, incarnation: str, now: float) -> None:
-        """Note any frame of a member; it refutes every suspicion.
+        """Record any frame from a member; it ends every suspicion of it.
 
+        :param incarnation: sender of the frame; ignored if unknown.
         :param now: monotonic time, in seconds.
         """
         row = self._row_of(incarnation)
         if row is not None:
-            self._clear(row, now)
+            self._mark_heard(row, now)
 
     def disconnected(self, incarnation: str, now: float) -> None:
-        """Note that the link to a member broke: it is probed from now on.
+        """Record that the link to a member broke, and suspect and probe it.
 
-        A process that died is suspected so without waiting for its silence. It
-        gets the rest of the grace to answer: one that is no neighbour may have had
-        no reason to speak for an hour, and only its connection broke.
+        A process that died is suspected so without waiting for its silence. The
+        member has the time between suspicion and gone to answer: one that is no
+        neighbour may have had no reason to send anything for an hour, and only its
+        connection broke.
 
+        :param incarnation: member at the other end; ignored if unknown.
         :param now: monotonic time, in seconds.
         """
         row = self._row_of(incarnation)
         if row is not None and not row.suspected:
             suspect(row, now - self._settings.suspect_after_s)
             row.sent_at = None
-            self._urgent = True
-            self._look_again()
+            self._send_now = True
+            self._evaluate_soon()
 
     def refused(self, instance_id: str, now: float) -> None:
-        """Note that nothing listens at the address of a member.
+        """Record that nothing listens at the address of a member.
 
-        Its link is broken and its host answers that no process is there, so its
-        silence needs no patience. One refusal may fall into the start of a new
-        process; a second one after a while does not.
+        Its link is broken and its host refuses connections, so there is no need to
+        wait for the timeout. A single refusal may come while a new process starts; a
+        second one after ``refused_s`` does not.
 
+        :param instance_id: the member; ignored unless it is suspected.
         :param now: monotonic time, in seconds.
         """
         row = self._members_by_id.get(instance_id)
@@ -137,158 +150,168 @@
         if row.refused_at is None:
             row.refused_at = now
         elif now - row.refused_at >= self._settings.refused_s:
-            end_patience(row, now - self._settings.gone_after_s)
-            self._look_again()
+            expire_silence(row, now - self._settings.gone_after_s)
+            self._evaluate_soon()
 
     def hint(self, hosts: Sequence[HostHint]) -> None:
-        """Take in the platform's list, which lags and is believed in nothing else.
+        """Process the platform's list of hosts, which may be out of date.
 
-        It names instances to link to, and those about to leave. It never removes
-        one that was heard, and never brings back one that is gone.
+        It is used only for instances to link to and for those about to leave. It
+        never removes a member that was heard, and never brings back a gone one.
+
+        :param hosts: all entries of the list.
         """
         for host in hosts:
             if host.instance_id == self._me.facts.instance_id:
                 continue
             row = self._members_by_id.get(host.instance_id)
             if row is None:
-                row = self._add_hinted(host)
+                row = self._add_listed(host)
             row.listed_leaving = host.leaving
-        self._look_again()
+        self._evaluate_soon()
         listed = {host.instance_id for host in hosts}
         for instance_id, row in list(self._members_by_id.items()):
             if row.heard_at is None and instance_id not in listed:
                 self._forget(instance_id)
 
     def tick(self, now: float) -> Sequence[MemberChange]:
-        """Judge silences and return what changed since the last tick.
+        """Evaluate silences and return the changes since the last evaluation.
 
         :param now: monotonic time, in seconds.
+        :returns: the changes of members, each once.
         """
-        self._forgive_own_pause(now)
-        self._retry_gone(now)
-        if now < self._judge_at:
+        self._exclude_own_pause(now)
+        self._contact_a_gone_member(now)
+        if now < self._evaluate_at:
             return []
         links = self._links()
-        self._judge_at = math.inf
+        self._evaluate_at = math.inf
         for instance_id, row in list(self._members_by_id.items()):
-            note_link(row, now, linked=instance_id in links)
+            record_link(row, now, linked=instance_id in links)
             before = row.state
-            due = judge(row, now, self._settings)
-            self._judge_at = min(self._judge_at, due)
-            if is_stale(row, now, self._settings):
+            evaluate_at = evaluate(row, now, self._settings)
+            self._evaluate_at = min(self._evaluate_at, evaluate_at)
+            if is_expired(row, now, self._settings):
                 self._forget(instance_id)
             elif row.state is not before:
-                self._take_judgement(row)
-        if self._circle.is_stale:
-            self._judge_at = now
+                self._apply_evaluation(row)
+        if self._peers.is_stale:
+            self._evaluate_at = now
         for row in self._members_by_id.values():
-            self._log.note_state(row)
+            self._log.record_state(row)
         return self._log.take()
 
-    def _retry_gone(self, now: float) -> None:
-        # Both sides of a cut take the other for gone and speak to it no more.
-        # Without a word now and then they would stay apart after the cut healed.
+    def _contact_a_gone_member(self, now: float) -> None:
+        # In a network partition, each side declares the other gone and sends it
+        # nothing more. Without an occasional heartbeat, they would stay separated
+        # after the partition ends.
         if now < self._retry_at:
             return
         self._retry_at = now + self._settings.retry_gone_s
         rows = self._members_by_id.values()
         gone = [row for row in rows if row.gone_at is not None]
         if gone:
-            self._greet(self._rng.choice(gone))
+            self._schedule_heartbeat(self._rng.choice(gone))
 
-    def _greet_domain(self, failure_domain: str) -> None:
-        # One came back: the others that the same cut took are likely back too.
+    def _contact_gone_in_domain(self, failure_domain: str) -> None:
+        # A member came back; others of its domain that the same partition cut off
+        # are likely to be reachable again too.
         for row in self._members_by_id.values():
-            is_near = row.facts.failure_domain == failure_domain
-            if is_near and row.gone_at is not None:
-                self._greet(row)
+            is_same_domain = row.facts.failure_domain == failure_domain
+            if is_same_domain and row.gone_at is not None:
+                self._schedule_heartbeat(row)
 
-    def _greet(self, row: MemberRow) -> None:
-        row.owes_answer = True
+    def _schedule_heartbeat(self, row: MemberRow) -> None:
+        row.needs_heartbeat = True
         row.sent_at = None
-        self._circle.review()
+        self._peers.invalidate_peers()
 
-    def _take_judgement(self, row: MemberRow) -> None:
-        self._circle.review()
+    def _apply_evaluation(self, row: MemberRow) -> None:
+        self._peers.invalidate_peers()
         if row.gone_at is not None:
-            self._circle.relink()
+            self._peers.invalidate_links()
         else:
-            self._urgent = True
+            self._send_now = True
 
-    def _forgive_own_pause(self, now: float) -> None:
-        # A process that was stopped wakes with old times and unread frames. Every
-        # member would seem silent, and this one would take over all of them.
-        gap_s = 0.0 if self._ticked_at is None else now - self._ticked_at
+    def _exclude_own_pause(self, now: float) -> None:
+        # A process that was stopped resumes with old times and unread frames. All
+        # members would seem silent, and it would take over all of them.
+        pause_s = 0.0 if self._ticked_at is None else now - self._ticked_at
         self._ticked_at = now
-        if gap_s <= self._settings.heartbeat_s:
+        if pause_s <= self._settings.heartbeat_s:
             return
         for row in self._members_by_id.values():
-            forgive(row, gap_s)
+            exclude_pause(row, pause_s)
 
     def neighbours(self) -> Collection[str]:
         """Return ids of the instances to exchange heartbeats with.
 
-        Links of :func:`links_of` over members that are not gone, members under
-        probe, and members that probe this one.
+        These are the links of :func:`links_of` among members that are not gone, the
+        members under probe, and members that are to be sent one heartbeat.
         """
-        return self._circle.members(self._me, self._members_by_id)
+        return self._peers.peer_ids(self._me, self._members_by_id)
 
     def _links(self) -> Collection[str]:
-        return self._circle.links(self._me, self._members_by_id)
+        return self._peers.links(self._me, self._members_by_id)
 
     def heartbeat_due(self, instance_id: str, now: float) -> bool:
-        """Whether a heartbeat has to be sent to a neighbour by itself.
+        """Return whether a heartbeat is due to a neighbour.
 
-        A tenth of the period is drawn off, so that instances which started
-        together do not go on sending together.
+        Up to a tenth of the period is subtracted at random, so that instances that
+        started together do not keep sending together.
 
+        :param instance_id: the neighbour.
         :param now: monotonic time, in seconds.
         """
         row = self._members_by_id.get(instance_id)
         if row is None:
             return False
-        if row.sent_at is None or self._urgent:
+        if row.sent_at is None or self._send_now:
             return True
         period_s = self._settings.heartbeat_s * self._rng.uniform(0.9, 1.0)
         return now - row.sent_at >= period_s
 
     def sent(self, instance_id: str, now: float) -> None:
-        """Note that a frame with a heartbeat went to a member.
+        """Record that a frame with a heartbeat was sent to a member.
 
+        :param instance_id: the member; ignored if unknown.
         :param now: monotonic time, in seconds.
         """
         row = self._members_by_id.get(instance_id)
         if row is None:
             return
         row.sent_at = now
-        if row.owes_answer:
-            row.owes_answer = False
-            self._circle.review()
+        if row.needs_heartbeat:
+            row.needs_heartbeat = False
+            self._peers.invalidate_peers()
 
     def heartbeats_sent(self) -> None:
-        """Note that heartbeats went to every neighbour after a rumour of us."""
-        self._urgent = False
+        """Record that all neighbours were sent the heartbeats that were due at once."""
+        self._send_now = False
 
     def suspicions(self) -> Sequence[str]:
-        """Return incarnations to name as suspected: those under probe here.
+        """Return incarnations to name as suspected in heartbeats.
+
+        These are the members under probe here. A suspicion is passed on at once, so
+        that it crosses a failure domain within one round trip per hop. Each receiver
+        probes the suspected member and stops passing the suspicion on once it hears
+        from it, so that the suspicion dies out.
 
-        A rumour is passed on at once, so that it crosses a failure domain within
-        a round trip a hop. Whoever hears of it asks its subject, and passes it on
-        no more once that one is heard; so it dies out.
+        :returns: at most ``max_suspicions`` incarnations.
         """
-        asked = asked_incarnations(self._members_by_id.values())
-        return asked[: self._settings.max_suspicions]
+        probed = probed_incarnations(self._members_by_id.values())
+        return probed[: self._settings.max_suspicions]
 
     def live(self, failure_domain: str) -> Sequence[str]:
         """Return instances that may hold targets of a failure domain, sorted.
 
-        A suspected one still may: a short silence then moves no target.
+        Suspected ones are included, so that a short silence moves no target.
         """
         rows = [*self._members_by_id.values(), self._me]
-        return holding_instances(rows, failure_domain)
+        return eligible_holders(rows, failure_domain)
 
     def highest_version(self) -> int:
-        """Return the highest configuration version that any member told."""
+        """Return the highest configuration version in heartbeats; 0 without members."""
         versions = [
             row.facts.configuration_version for row in self._members_by_id.values()
         ]
@@ -303,61 +326,63 @@
             return None
         return row
 
-    def _clear(self, row: MemberRow, now: float) -> None:
+    def _mark_heard(self, row: MemberRow, now: float) -> None:
         row.heard_at = now
         if row.gone_at is not None:
-            self._circle.relink()
-            self._greet_domain(row.facts.failure_domain)
+            self._peers.invalidate_links()
+            self._contact_gone_in_domain(row.facts.failure_domain)
         if row.suspected or row.probed_since is not None or row.gone_at is not None:
             row.suspected = False
             row.probed_since = None
             row.refused_at = None
             row.gone_at = None
-            self._look_again()
+            self._evaluate_soon()
 
-    def _note_probe(self, row: MemberRow, now: float) -> None:
-        # One that is no neighbour speaks because it was told that we are silent.
-        # Unanswered it would take us for gone. A member that we asked just now
-        # only answers; to answer that again would never end.
+    def _reply_to_probe(self, row: MemberRow, now: float) -> None:
+        # A member that is no neighbour sends a heartbeat to probe this instance, since
+        # another one suspects it. Without a reply it would declare this instance
+        # gone. A heartbeat right after one from here is itself a reply; replying to
+        # it would never end.
         if row.facts.instance_id in self._links():
             return
         if row.sent_at is None or now - row.sent_at >= self._settings.heartbeat_s:
-            self._greet(row)
+            self._schedule_heartbeat(row)
 
-    def _look_again(self) -> None:
-        """Let the next tick judge every member, since something changed."""
-        self._circle.review()
-        self._judge_at = 0.0
+    def _evaluate_soon(self) -> None:
+        """Make the next tick evaluate all members, since something changed."""
+        self._peers.invalidate_peers()
+        self._evaluate_at = 0.0
 
-    def _hear_rumour(self, incarnation: str, now: float) -> None:
+    def _apply_suspicion(self, incarnation: str, now: float) -> None:
         if incarnation == self._me.facts.incarnation:
-            # Answer at once: silence would let the rumour end in a takeover of a
-            # living instance, and all its queued work would be refused.
-            self._urgent = True
+            # Heartbeats are sent at once. Otherwise the suspicion would end in the
+            # takeover of this running instance, and all its queued work would be
+            # refused.
+            self._send_now = True
             return
         row = self._members_by_id.get(instance_of(incarnation))
         if row is None or row.gone_at is not None or row.probed_since is not None:
             return
         if row.facts.incarnation not in (incarnation, ""):
             return
-        fresh_s = self._settings.heartbeat_s
-        if row.heard_at is not None and now - row.heard_at < fresh_s:
+        recent_s = self._settings.heartbeat_s
+        if row.heard_at is not None and now - row.heard_at < recent_s:
             return
-        # Whoever spread it waited so long already; so everybody takes the member
-        # for gone at the same time, unless it answers.
+        # The member that suspected it first already waited this long. All members
+        # then declare it gone at the same time, unless it answers.
         row.probed_since = now - self._settings.suspect_after_s
         row.sent_at = None
-        self._urgent = True
-        self._look_again()
+        self._send_now = True
+        self._evaluate_soon()
 
     def _replace(self, row: MemberRow, facts: MemberFacts) -> None:
         self._ids_by_incarnation.pop(row.facts.incarnation, None)
-        self._log.note_replaced(row, facts)
-        self._circle.relink()
-        self._look_again()
+        self._log.record_replaced(row, facts)
+        self._peers.invalidate_links()
+        self._evaluate_soon()
         row.sent_at = None
 
-    def _add_hinted(self, host: HostHint) -> MemberRow:
+    def _add_listed(self, host: HostHint) -> MemberRow:
         facts = MemberFacts(
             instance_id=host.instance_id,
             incarnation="",
@@ -366,11 +391,11 @@
         )
         row = MemberRow(facts=facts)
         self._members_by_id[host.instance_id] = row
-        self._circle.relink()
+        self._peers.invalidate_links()
         return row
 
     def _forget(self, instance_id: str) -> None:
         row = self._members_by_id.pop(instance_id)
         self._ids_by_incarnation.pop(row.facts.incarnation, None)
         self._log.forget(instance_id)
-        self._circle.relink()
+        self._peers.invalidate_links()
--- a/src/cassiaturn/membership/tests/test_fleet.py
+++ b/src/cassiaturn/membership/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time: who learns of a death, and at what cost."""
+"""Failure detection by all instances in virtual time, and its number of messages."""
 
 import pytest
 
@@ -7,11 +7,13 @@
 
 
 @pytest.mark.parametrize(("domains", "size"), [(4, 2), (3, 3), (3, 20)])
-def test_everyone_learns_of_a_death_and_of_no_other(domains: int, size: int) -> None:
+def test_all_instances_detect_a_failed_host_and_no_other(
+    domains: int, size: int
+) -> None:
     """
-    One host vanishes. Its neighbours notice, and pass the word on; whoever hears of
-    it asks the host first. Within 5 s of its last frame every instance takes it for
-    gone, and none is taken for gone that lives.
+    One host fails. Its neighbours suspect it and pass the suspicion on; each receiver
+    probes the host first. Within 5 s of its last frame every instance must consider
+    it gone, and no running instance may be considered gone.
     """
     fleet = Fleet(domains=domains, size=size)
     fleet.run(3.0)
@@ -20,27 +22,29 @@
 
     others = len(fleet.tables_by_id) - 1
     assert len(fleet.believers("d0-0", MemberState.GONE)) == others
-    for one in fleet.tables_by_id:
-        if one != "d0-0":
-            assert len(fleet.believers(one, MemberState.READY)) == others - 1, one
+    for instance_id in fleet.tables_by_id:
+        if instance_id != "d0-0":
+            assert len(fleet.believers(instance_id, MemberState.READY)) == others - 1, (
+                instance_id
+            )
 
 
-def test_a_quiet_fleet_stays_within_its_messages() -> None:
+def test_heartbeat_rate_is_bounded_without_failures() -> None:
     fleet = Fleet(domains=5, size=12)
     fleet.run(5.0)
-    before = fleet.sent
+    sent_before = fleet.sent
     fleet.run(10.0)
 
-    a_second = (fleet.sent - before) / len(fleet.tables_by_id) / 10.0
-    assert a_second <= 8 / 0.9 + 0.5
-    for one in fleet.tables_by_id:
-        assert len(fleet.believers(one, MemberState.READY)) == 59
+    messages_per_s = (fleet.sent - sent_before) / len(fleet.tables_by_id) / 10.0
+    assert messages_per_s <= 8 / 0.9 + 0.5
+    for instance_id in fleet.tables_by_id:
+        assert len(fleet.believers(instance_id, MemberState.READY)) == 59
 
 
-def test_a_cut_off_domain_comes_back() -> None:
+def test_partitioned_domain_is_ready_again() -> None:
     """
-    A failure domain is cut off for 20 s. Each side takes the other for gone and
-    goes on; when the cut heals, all are ready again without any restart.
+    A failure domain is partitioned off for 20 s, and each side declares the other
+    gone. When the partition ends, all must be ready again without a restart.
     """
     fleet = Fleet(domains=3, size=4)
     fleet.run(2.0)
@@ -51,5 +55,5 @@
     fleet.cut = set()
     fleet.run(8.0)
 
-    for one in fleet.tables_by_id:
-        assert len(fleet.believers(one, MemberState.READY)) == 11, one
+    for instance_id in fleet.tables_by_id:
+        assert len(fleet.believers(instance_id, MemberState.READY)) == 11, instance_id
--- a/src/cassiaturn/membership/tests/test_holders.py
+++ b/src/cassiaturn/membership/tests/test_holders.py
@@ -1,4 +1,4 @@
-"""Targets are shared out evenly, and few of them move."""
+"""Even assignment of targets with few moves, and symmetric heartbeat links."""
 
 import math
 
@@ -24,20 +24,22 @@
     assert max(counts) <= math.ceil(len(targets) / len(instances))
 
 
-def test_without_instances_nobody_holds() -> None:
+def test_no_holder_without_instances() -> None:
     assert holders_by_target(["a"], []) == {}
     assert holder_of("a", []) is None
     assert holder_of("a", ["x"]) == "x"
 
 
 @pytest.mark.parametrize(("targets", "instances"), [(8, 3), (6, 2), (24, 9), (280, 70)])
-def test_a_lost_instance_moves_few_other_targets(targets: int, instances: int) -> None:
+def test_lost_instance_moves_few_other_targets(targets: int, instances: int) -> None:
     target_ids = [f"runner-{number}" for number in range(targets)]
-    everyone = [f"osu-{number}" for number in range(instances)]
+    instance_ids = [f"osu-{number}" for number in range(instances)]
     moved = 0
-    for lost in everyone:
-        before = holders_by_target(target_ids, everyone)
-        after = holders_by_target(target_ids, [one for one in everyone if one != lost])
+    for lost in instance_ids:
+        before = holders_by_target(target_ids, instance_ids)
+        after = holders_by_target(
+            target_ids, [one for one in instance_ids if one != lost]
+        )
         moved += sum(
             before[one] != after[one] for one in target_ids if before[one] != lost
         )
@@ -48,7 +50,7 @@
 @pytest.mark.parametrize(
     ("domains", "size", "near"), [(5, 70, 4), (4, 2, 4), (3, 3, 4)]
 )
-def test_links_are_few_and_the_same_from_both_ends(
+def test_links_are_few_symmetric_and_connected(
     domains: int, size: int, near: int
 ) -> None:
     domain_of = {f"d{d}-{n}": f"d{d}" for d in range(domains) for n in range(size)}
