--- a/src/cassiaturn/platform/__init__.py
+++ b/src/cassiaturn/platform/__init__.py
@@ -1,7 +1,6 @@
-"""The users' platform: its messages, to and from the product's types.
+"""Adapter to the users' platform: maps its messages to cassiaturn's types and back.
 
-Nothing here decides anything; nothing outside this package knows the platform's
-names.
+It makes no decisions. No name of the platform's protocol is used outside this package.
 """
 
 from typing import TYPE_CHECKING
@@ -12,7 +11,8 @@
 if TYPE_CHECKING:
     from cassiaturn.platform._services import PlatformAdapter
 
-# The settings are looked for before anything else, and a port is opened by them.
+# A starting process needs settings_path to open the callers' port, and imports the rest
+# of the adapter after that.
 __getattr__ = lazy_exports(__name__, {"PlatformAdapter": "_services"})
 
 __all__ = ["PlatformAdapter", "settings_path"]
--- a/src/cassiaturn/platform/_entry.py
+++ b/src/cassiaturn/platform/_caller_server.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests, passed on to the product's desk of jobs."""
+"""HTTP server of callers' requests, which passes them to the job service."""
 
 import asyncio
 import json
@@ -22,24 +22,25 @@
 from cassiaturn.transport import take_waiting
 from cassiaturn.workload import Outcome, Verdict
 
-LIMIT_HEADER = "X-Cassiaturn-Deadline-Ms"
-"""How long the caller waits, from its request on; not a point in time."""
+CALLER_TIMEOUT_HEADER = "X-Cassiaturn-Deadline-Ms"
+"""Header with the time that the caller waits for an answer, counted from its request,
+in milliseconds; not a point in time."""
 
 READINESS_PATH = "/api/readiness"
 
 JSON = "application/json"
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 IDLE_TIMEOUT_S = 60.0
-"""Time after which a connection without a request is closed, in seconds."""
+"""Idle time after which a connection is closed, in seconds."""
 
 MAX_HEADER_BYTES = 64 * 1024
 
 MAX_BODY_BYTES = 1024 * 1024
-"""Above the largest job that the platform lets callers send, 256 KB."""
+"""Exceeds the largest job that the platform lets callers send, 256 KB."""
 
-_WORD_BY_STATUS = {
+_STATE_BY_STATUS = {
     JobStatus.QUEUED: "queued",
     JobStatus.RUNNING: "running",
     JobStatus.COMPLETED: "completed",
@@ -56,7 +57,7 @@
 
 
 class CallerServer:
-    """Serves callers at one address and the balancer at another."""
+    """Serves callers on one port and the load balancer on another."""
 
     def __init__(
         self,
@@ -64,34 +65,38 @@
         callers: socket,
         opened_at: float,
         readiness: Address,
-        desk: CallerJobService,
+        jobs: CallerJobService,
     ) -> None:
-        """Prepare both.
+        """Create both servers.
 
-        :param callers: where callers connect; it listens already.
-        :param opened_at: since when, in seconds.
-        :param readiness: where the balancer asks whether they should.
+        :param callers: the socket that callers connect to; it already listens.
+        :param opened_at: since when it listens, on the monotonic clock, in seconds.
+        :param readiness: address of the readiness probe for the load balancer.
+        :param jobs: accepts the callers' jobs.
         """
         self._servers: list[HTTPServer] = []
         self._callers = callers
         self._opened_at = opened_at
         self._readiness = readiness
-        self._desk = desk
+        self._jobs = jobs
 
     def start(self) -> None:
-        """Listen.
+        """Start serving both ports.
 
-        :raises OSError: an address cannot be listened at.
+        :raises OSError: the readiness address cannot be listened on.
         """
-        shared = {"desk": self._desk}
-        jobs = Application([(r"/.*", _JobHandler, shared)], log_function=_log_nothing)
-        ready = Application(
-            [(READINESS_PATH, _ReadinessHandler, shared)], log_function=_log_nothing
+        shared = {"jobs": self._jobs}
+        job_application = Application(
+            [(r"/.*", _JobHandler, shared)], log_function=_skip_access_log
+        )
+        readiness_application = Application(
+            [(READINESS_PATH, _ReadinessHandler, shared)],
+            log_function=_skip_access_log,
         )
         self._callers.setblocking(False)
-        readiness = bind_sockets(self._readiness.port, self._readiness.host)
-        self._serve_waiting(self._add_server(jobs, [self._callers]))
-        self._add_server(ready, readiness)
+        readiness_sockets = bind_sockets(self._readiness.port, self._readiness.host)
+        self._serve_queued(self._add_server(job_application, [self._callers]))
+        self._add_server(readiness_application, readiness_sockets)
 
     def _add_server(
         self, application: Application, sockets: Iterable[socket]
@@ -106,43 +111,43 @@
         self._servers.append(server)
         return server
 
-    def _serve_waiting(self, server: HTTPServer) -> None:
+    def _serve_queued(self, server: HTTPServer) -> None:
         now = time.monotonic()
-        for waiting in take_waiting(self._callers, opened_at=self._opened_at, now=now):
-            stream = _WaitedStream(waiting.connection, came_at=waiting.came_at)
-            server.handle_stream(stream, waiting.peer)
+        for queued in take_waiting(self._callers, opened_at=self._opened_at, now=now):
+            stream = _QueuedConnection(queued.connection, connected_at=queued.came_at)
+            server.handle_stream(stream, queued.peer)
 
     async def close(self) -> None:
-        """Stop listening and end the connections."""
+        """Stop listening and close the connections."""
         for server in self._servers:
             server.stop()
         for server in self._servers:
             await server.close_all_connections()
 
 
-class _WaitedStream(IOStream):
-    """A connection that waited to be accepted, and so did its first request."""
+class _QueuedConnection(IOStream):
+    """A connection that waited in the accept queue, together with its first request."""
 
-    def __init__(self, connection: socket, *, came_at: float) -> None:
+    def __init__(self, connection: socket, *, connected_at: float) -> None:
         super().__init__(connection)
-        self._came_at: float | None = came_at
+        self._connected_at: float | None = connected_at
 
-    def take_wait_s(self) -> float:
-        """Return how long the request has waited, in seconds; later ones did not."""
-        came_at, self._came_at = self._came_at, None
-        return time.monotonic() - came_at if came_at is not None else 0.0
+    def take_queued_s(self) -> float:
+        """Return how long the first request has waited, in seconds; 0 after that."""
+        connected_at, self._connected_at = self._connected_at, None
+        return time.monotonic() - connected_at if connected_at is not None else 0.0
 
 
 class _Handler(RequestHandler):
-    desk: CallerJobService
+    jobs: CallerJobService
 
-    def initialize(self, desk: CallerJobService) -> None:
-        self.desk = desk
+    def initialize(self, jobs: CallerJobService) -> None:
+        self.jobs = jobs
 
     def answer(self, status: HTTPStatus, document: str = "") -> None:
         self.set_status(status)
         self.clear_header("Server")
-        if self.desk.is_stopping:
+        if self.jobs.is_stopping:
             self.set_header("Connection", "close")
         if document:
             self.set_header("Content-Type", JSON)
@@ -154,12 +159,12 @@
 
 class _ReadinessHandler(_Handler):
     def get(self) -> None:
-        ready = self.desk.is_ready
+        ready = self.jobs.is_ready
         self.answer(HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class _JobHandler(_Handler):
-    _waiting: "asyncio.Task[Outcome] | None" = None
+    _submission: "asyncio.Task[Outcome] | None" = None
 
     async def post(self) -> None:
         route = self._route()
@@ -177,50 +182,50 @@
             return
         job_id = self._job_id(route)
         if not job_id:
-            waiting = self.desk.waiting(route)
+            waiting = self.jobs.waiting(route)
             self.answer(HTTPStatus.OK, f'{{"waiting":{waiting}}}')
             return
-        status = self.desk.status(job_id)
+        status = self.jobs.status(job_id)
         if status is None:
             self.answer(HTTPStatus.GONE)
             return
-        self.answer(HTTPStatus.OK, f'{{"state":"{_WORD_BY_STATUS[status]}"}}')
+        self.answer(HTTPStatus.OK, f'{{"state":"{_STATE_BY_STATUS[status]}"}}')
 
     def delete(self) -> None:
         route = self._route()
         if route is None:
             return
-        known = self.desk.cancel(self._job_id(route))
+        known = self.jobs.cancel(self._job_id(route))
         self.answer(HTTPStatus.OK if known else HTTPStatus.GONE)
 
     def on_connection_close(self) -> None:
-        if self._waiting is not None:
-            self._waiting.cancel()
+        if self._submission is not None:
+            self._submission.cancel()
 
     async def _submit(self, request: JobRequest, route: Route) -> None:
-        submitted = self.desk.submit(
-            request, route, self._limit_s(), waited_s=self._waited_s()
+        submitted = self.jobs.submit(
+            request, route, self._caller_timeout_s(), waited_s=self._queued_s()
         )
-        self._waiting = asyncio.ensure_future(submitted)
+        self._submission = asyncio.ensure_future(submitted)
         try:
-            outcome = await self._waiting
+            outcome = await self._submission
         except asyncio.CancelledError:
-            # The caller has gone; there is nobody to answer.
+            # The caller closed its connection, so there is nobody to answer.
             return
         self._answer_outcome(outcome)
 
     def _answer_outcome(self, outcome: Outcome) -> None:
-        self._retry_after(outcome.retry_after_s)
+        self._set_retry_after(outcome.retry_after_s)
         self.answer(*_ANSWER_BY_VERDICT[outcome.verdict])
 
     def _route(self) -> Route | None:
-        """Return the route of the request; answers it if there is none."""
-        if not self.desk.is_configured:
-            self._retry_after(self.desk.unconfigured_retry_s)
+        """Return the route of the request; without one, answer it and return None."""
+        if not self.jobs.is_configured:
+            self._set_retry_after(self.jobs.unconfigured_retry_s)
             self.answer(HTTPStatus.SERVICE_UNAVAILABLE)
             return None
         host = self.request.host.rsplit(":", 1)[0]
-        route = self.desk.find(host, self.request.path)
+        route = self.jobs.find(host, self.request.path)
         if route is None:
             self.answer(HTTPStatus.NOT_FOUND)
         return route
@@ -228,23 +233,23 @@
     def _job_id(self, route: Route) -> str:
         return self.request.path[len(route.prefix) :]
 
-    def _limit_s(self) -> float | None:
-        """Return how long the caller waits, in seconds; None: it tells no such time."""
+    def _caller_timeout_s(self) -> float | None:
+        """Return how long the caller waits, in seconds; None if it does not say."""
         try:
-            limit_s = float(self.request.headers[LIMIT_HEADER]) / MILLISECONDS
+            limit_s = float(self.request.headers[CALLER_TIMEOUT_HEADER]) / MS_PER_S
         except (KeyError, ValueError):
             return None
         return limit_s if 0.0 < limit_s < math.inf else None
 
-    def _waited_s(self) -> float:
+    def _queued_s(self) -> float:
         connection = cast(HTTP1Connection, self.request.connection)
         stream = connection.stream
-        return stream.take_wait_s() if isinstance(stream, _WaitedStream) else 0.0
+        return stream.take_queued_s() if isinstance(stream, _QueuedConnection) else 0.0
 
-    def _retry_after(self, seconds: float) -> None:
+    def _set_retry_after(self, seconds: float) -> None:
         if seconds > 0.0:
             self.set_header("Retry-After", str(math.ceil(seconds)))
 
 
-def _log_nothing(_: RequestHandler) -> None:
-    """Keep tornado's own line a request out of the log."""
+def _skip_access_log(_: RequestHandler) -> None:
+    """Suppress tornado's own log line for each request."""
--- a/src/cassiaturn/platform/_decode.py
+++ b/src/cassiaturn/platform/_decode.py
@@ -1,4 +1,4 @@
-"""From the platform's messages to the product's types."""
+"""Decodes the platform's messages into cassiaturn's types."""
 
 from pydantic import ValidationError
 from returns.result import Failure, Result, Success
@@ -31,12 +31,12 @@
     StepDocument,
 )
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
-MAX_TASKS = 100_000
-"""Tasks of one job; the largest ones have some 750."""
+MAX_TASKS_PER_JOB = 100_000
+"""Limit on the tasks of one job. The largest jobs have about 750."""
 
-_END_BY_WORD = {
+_RUN_END_BY_NAME = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -46,28 +46,29 @@
 }
 
 
-def problem_of(error: ValidationError) -> str:
-    """Return the first thing that is wrong in a message, for people."""
+def describe_error(error: ValidationError) -> str:
+    """Return a readable description of the first error in a message."""
     first = error.errors(include_url=False, include_input=False)[0]
     place = ".".join(str(part) for part in first["loc"]) or "the body"
     return f"{place}: {first['msg']}"
 
 
 def decode_job(job_id: str, body: bytes) -> Result[JobRequest, str]:
-    """Read a job, or say what is wrong with it.
+    """Decode a job.
 
-    :param job_id: its id, from the path.
-    :param body: the request's body.
+    :param job_id: id of the job, from the request's path.
+    :param body: body of the request.
+    :returns: the job, or a readable description of the first error in it.
     """
     try:
         document = JobDocument.model_validate_json(body)
     except ValidationError as error:
-        return Failure(problem_of(error))
+        return Failure(describe_error(error))
     for position, step in enumerate(document.steps):
         if any(earlier >= position for earlier in step.after):
             return Failure(f"steps.{position}.after: may name earlier steps only")
-    if sum(step.count for step in document.steps) > MAX_TASKS:
-        return Failure(f"steps: {MAX_TASKS} tasks at most")
+    if sum(step.count for step in document.steps) > MAX_TASKS_PER_JOB:
+        return Failure(f"steps: {MAX_TASKS_PER_JOB} tasks at most")
     schedule = None
     if document.repetitions or document.start_at_ms:
         schedule = Schedule(
@@ -87,7 +88,7 @@
 
 
 def decode_configuration(document: bytes) -> RoutingTable | None:
-    """Read what operators published; None if it is malformed."""
+    """Decode the configuration that operators publish; None if it is malformed."""
     try:
         parsed = ConfigurationDocument.model_validate_json(document)
     except ValidationError:
@@ -109,14 +110,14 @@
         limits=RequestLimits(
             header_bytes=limits.header_bytes,
             body_bytes=limits.body_bytes,
-            idle_timeout_s=limits.idle_timeout_ms / MILLISECONDS,
+            idle_timeout_s=limits.idle_timeout_ms / MS_PER_S,
         ),
         document=document,
     )
 
 
 def decode_target(target_id: str, document: bytes) -> TargetReport | None:
-    """Read what a target publishes of itself; None if it is malformed."""
+    """Decode a target's directory entry; None if it is malformed."""
     try:
         parsed = RunnerDocument.model_validate_json(document)
     except ValidationError:
@@ -131,14 +132,14 @@
         capacity=to_resources(parsed.capacity),
         labels=frozenset(parsed.labels),
         leaving=parsed.state == "draining",
-        remaining_s=parsed.remaining_ms / MILLISECONDS,
-        slow_start_s=parsed.cold_remaining_ms / MILLISECONDS,
+        remaining_s=parsed.remaining_ms / MS_PER_S,
+        slow_start_s=parsed.cold_remaining_ms / MS_PER_S,
         sequence=max(0, min(parsed.sequence, MAX_WIRE_INT)),
     )
 
 
 def decode_lease_report(body: bytes) -> LeaseReport | None:
-    """Read what runs and has ended on a target; None if it is malformed."""
+    """Decode a target's running and ended runs; None if they are malformed."""
     try:
         parsed = LeaseReply.model_validate_json(body)
         running = tuple(
@@ -156,10 +157,10 @@
                 sequence=sequence,
                 ref=decode_ref(name),
                 run=run,
-                end=_END_BY_WORD[how],
+                end=_RUN_END_BY_NAME[end_name],
                 checkpoint=checkpoint,
             )
-            for sequence, name, run, how, checkpoint in parsed.ended
+            for sequence, name, run, end_name, checkpoint in parsed.ended
         )
     except (ValidationError, ValueError, KeyError):
         return None
@@ -167,21 +168,21 @@
 
 
 def encode_ref(ref: TaskRef) -> str:
-    """Return a task's name on the wire: job, occurrence, step and index."""
+    """Return a task's name on the wire: ``job.occurrence.step.index``."""
     return f"{ref.job_id}.{ref.occurrence}.{ref.group}.{ref.task_index}"
 
 
 def decode_ref(name: str) -> TaskRef:
-    """Return the task of a name.
+    """Return the task that a name on the wire refers to.
 
-    :raises ValueError: it is no task's name.
+    :raises ValueError: the name is malformed.
     """
     job_id, occurrence, group, task_index = name.split(".")
     return TaskRef(job_id, int(occurrence), int(group), int(task_index))
 
 
 def to_resources(document: CapacityDocument | StepDocument) -> Resources:
-    """Return what a worker has, or a task takes."""
+    """Return the resources that a worker has or a task needs."""
     return Resources(
         cpu_millis=document.cpu,
         memory_mib=document.mem_mb,
@@ -193,7 +194,7 @@
     return TaskGroup(
         count=step.count,
         resources=to_resources(step),
-        expected_run_s=step.estimated_ms / MILLISECONDS,
+        expected_run_s=step.estimated_ms / MS_PER_S,
         after=tuple(step.after),
         required_label=step.requirements,
         preferred_rack=step.affinity,
@@ -204,7 +205,7 @@
         copies_allowed=step.speculative,
         long_running=step.long_running,
         image=step.image,
-        latency_objective_s=step.target_ms / MILLISECONDS,
+        latency_objective_s=step.target_ms / MS_PER_S,
         fills_leftover=step.fills,
         max_unavailable=step.may_miss,
     )
@@ -224,8 +225,8 @@
         prefix=route.prefix,
         service=route.service,
         priority=route.priority,
-        timeout_s=route.timeout_ms / MILLISECONDS,
-        latency_objective_s=route.target_latency_ms / MILLISECONDS,
+        timeout_s=route.timeout_ms / MS_PER_S,
+        latency_objective_s=route.target_latency_ms / MS_PER_S,
         stretch=route.stretch or 1.0,
         max_attempts=max(1, route.max_attempts),
         advice=advice,
--- a/src/cassiaturn/platform/_documents.py
+++ b/src/cassiaturn/platform/_documents.py
@@ -1,9 +1,9 @@
-"""Messages of the users' platform, as they stand on the wire.
+"""Wire models of the users' platform.
 
-On the wire the fields are in camel case. Each model is read or written in one place
-of this package, which gives it the product's own names. Unknown fields are ignored:
-newer installations may send more.
-A comment stands where a name says something else than the field holds.
+On the wire, field names are in camel case. Each model is read or written in one place
+of this package, which maps it to cassiaturn's own names. Unknown fields are ignored,
+because newer installations may send more. Comments mark fields whose content differs
+from what the name suggests.
 """
 
 from typing import Annotated, Literal
@@ -16,30 +16,30 @@
 Count = Annotated[int, Field(ge=0)]
 
 MAX_WIRE_INT = 2**63 - 1
-"""Largest number that members hand on to each other."""
+"""Largest number in messages between members, which use signed 64-bit integers."""
 
 
 class Document(BaseModel):
-    """Base of every message."""
+    """Base class of all messages."""
 
     model_config = ConfigDict(extra="ignore", frozen=True, alias_generator=to_camel)
 
 
 class StepDocument(Document):
-    """A group of equal tasks."""
+    """A group of identical tasks."""
 
     count: Annotated[int, Field(ge=1, le=100_000)]
-    cpu: Count = 0  # Thousandths of a core, for each task.
+    cpu: Count = 0  # Thousandths of a core per task.
     mem_mb: Count = 0
     gpu: Count = 0
-    estimated_ms: Annotated[float, Field(ge=0)] = 0  # Often off by half.
+    estimated_ms: Annotated[float, Field(ge=0)] = 0  # Often wrong by half.
     after: list[Count] = []
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
     requirements: str = ""  # One label, not a list.
     affinity: str = ""  # The rack that holds the data.
-    anti_affinity: Count = 0  # Tasks of the step on one target at most.
+    anti_affinity: Count = 0  # Maximum of the step's tasks on one target.
     speculative: bool = False
     long_running: bool = False
     image: str = ""
@@ -49,7 +49,7 @@
 
 
 class JobDocument(Document):
-    """A job as its caller sends it."""
+    """A job as submitted by its caller."""
 
     task_spec: Annotated[str, Field(max_length=4_000)] = ""
     steps: Annotated[list[StepDocument], Field(min_length=1)]
@@ -60,10 +60,10 @@
 
 
 class AdviceTermsDocument(Document):
-    """What a queue tells of the service that advises on targets."""
+    """A queue's terms of the service that advises which targets may run a group."""
 
     decision_ms: Annotated[float, Field(ge=0)] = 0
-    each_ms: Annotated[float, Field(ge=0)] = 0  # For each target asked about.
+    each_ms: Annotated[float, Field(ge=0)] = 0  # Further time per target asked about.
     valid_ms: Annotated[float, Field(ge=0)] = 0
 
 
@@ -75,11 +75,10 @@
     prefix: str = "/"
     service: str
     timeout_ms: Annotated[float, Field(ge=0)] = 0
-    # Not the time that a request may take, but what it may take beyond `stretch`
-    # times its own work.
+    # Time that a job may take beyond `stretch` times its own work, not in total.
     target_latency_ms: Annotated[float, Field(ge=0)] = 0
     priority: Count = 0
-    max_attempts: Annotated[int, Field(ge=0)] = 1  # Failed runs of one task.
+    max_attempts: Annotated[int, Field(ge=0)] = 1  # Maximum of failed runs per task.
     stretch: Annotated[float, Field(ge=0)] = 1
     advice: AdviceTermsDocument | None = None
 
@@ -94,7 +93,7 @@
 
 
 class LimitsDocument(Document):
-    """Bounds on callers' requests."""
+    """Limits on callers' requests."""
 
     header_bytes: Count = 16 * 1024
     body_bytes: Count = 256 * 1024
@@ -102,7 +101,7 @@
 
 
 class ConfigurationDocument(Document):
-    """What operators publish."""
+    """The configuration that operators publish."""
 
     version: Annotated[int, Field(ge=0, le=MAX_WIRE_INT)]
     routes: list[RouteDocument] = []
@@ -111,7 +110,7 @@
 
 
 class CapacityDocument(Document):
-    """What a worker has for tasks."""
+    """Resources of a worker that tasks may use."""
 
     model_config = ConfigDict(strict=True)
 
@@ -121,11 +120,11 @@
 
 
 class RunnerDocument(Document):
-    """What a target publishes of itself; its key is its id.
+    """A target's own directory entry, stored under the target's id.
 
-    Others may write into the same list. What an order needs is required, and no type is
-    converted: an entry that is wrong in one field may be wrong in its address, and a
-    start would go to a process that is no target.
+    The directory may have other writers. Fields that orders depend on are required, and
+    types are not coerced: an entry with one wrong field may have a wrong address too,
+    and a start order would be sent to a process that is not a target.
     """
 
     model_config = ConfigDict(strict=True)
@@ -140,12 +139,12 @@
     capacity: CapacityDocument
     labels: list[str] = []
     sequence: int
-    # Only while it drains.
+    # Only while the target drains.
     remaining_ms: Annotated[float, Field(ge=0, allow_inf_nan=False)] = 0
 
 
 class RowDocument(Document):
-    """A row of the table service, with its value in base64."""
+    """A row of the table service; its value is encoded in base64."""
 
     table: str = ""
     part: str = ""
@@ -156,16 +155,16 @@
 
 
 class RowsReply(Document):
-    """Rows as of one moment, or those that changed."""
+    """Rows at one version of the store, or rows that changed."""
 
     rows: list[RowDocument] = []
     truncated: bool = False
-    row_version: int = 0  # The newest of the store, not of these rows.
+    row_version: int = 0  # Newest version of the store, not of these rows.
     now_ms: float = 0
 
 
 class CommitReply(Document):
-    """A transaction that took effect."""
+    """Answer to a transaction that was committed."""
 
     row_version: int
     now_ms: float = 0
@@ -179,12 +178,12 @@
 
 
 class LeaseReply(Document):
-    """What runs and what has ended on a target."""
+    """Running and ended runs of a target."""
 
     clock_ms: int
-    # Rows of task, run, saved progress, percent and recent load.
+    # Rows of task, run, checkpoint, share done in percent and recent load.
     running: list[tuple[str, int, str, float] | tuple[str, int, str, float, float]] = []
-    # Rows of sequence, task, run, how it ended and saved progress.
+    # Rows of sequence number, task, run, kind of end and checkpoint.
     ended: list[tuple[int, str, int, str, str]] = []
 
 
@@ -197,25 +196,25 @@
     zone: str = ""
     labels: list[str] = []
     capacity: CapacityDocument = CapacityDocument()
-    id: str | None = None  # Of the target that runs there, not of the machine.
+    id: str | None = None  # Id of the target that runs there, not of the machine.
 
 
 class MachinesReply(Document):
-    """One page of the hosts."""
+    """One page of the list of hosts."""
 
     machines: list[MachineDocument] = []
     next_token: str | None = None
 
 
 class AdviceReply(Document):
-    """Targets that may run a group, each with its leave."""
+    """Ids of targets that may run a group, each with its ticket."""
 
     good: list[tuple[str, str]] = []
     valid_ms: Annotated[float, Field(ge=0)] = 0
 
 
 class WaveDocument(Document):
-    """A request for the maintenance of some hosts."""
+    """A request to maintain some hosts."""
 
     wave: int
     machines: list[str] = []
--- a/src/cassiaturn/platform/_services.py
+++ b/src/cassiaturn/platform/_services.py
@@ -1,14 +1,14 @@
-"""Everything that a member asks of this platform, connected."""
+"""Connects a member to all services of the platform."""
 
 from socket import socket
 
 from cassiaturn.fleet import CallerJobService, PlatformServices
+from cassiaturn.platform._caller_server import CallerServer
 from cassiaturn.platform._decode import decode_configuration, decode_target
-from cassiaturn.platform._entry import CallerServer
-from cassiaturn.platform._store_calls import StoreCaller
+from cassiaturn.platform._store_client import StoreClient
 from cassiaturn.platform._table import PlatformTable
 from cassiaturn.platform._targets import RunnerCalls
-from cassiaturn.platform._watched import WatchedTable
+from cassiaturn.platform._watched_table import WatchedTable
 from cassiaturn.settings import FleetSettings
 from cassiaturn.transport.http_client import HttpClient
 
@@ -17,7 +17,7 @@
 TARGETS_TABLE = "servers"
 
 OWN_TABLE = "cassiaturn"
-"""The product's own rows."""
+"""Table of cassiaturn's own rows."""
 
 
 class PlatformAdapter:
@@ -26,46 +26,48 @@
     def __init__(
         self, settings: FleetSettings, *, client: HttpClient | None = None
     ) -> None:
-        """Prepare; connections open on use.
+        """Create the adapter; connections are opened on first use.
 
-        :param settings: name the addresses.
-        :param client: makes the calls; None: one of its own.
+        :param settings: addresses of the platform's services.
+        :param client: HTTP client for all calls; None for a new one.
         """
         self._settings = settings
         self._client = client or HttpClient()
 
     def services(self) -> PlatformServices:
-        """Return what the member asks of the platform."""
+        """Return the platform's services for the member."""
         address = str(self._settings.table_service)
-        caller = StoreCaller(client=self._client, address=address)
+        store = StoreClient(client=self._client, address=address)
         return PlatformServices(
-            table=PlatformTable(caller=caller, table=OWN_TABLE),
+            table=PlatformTable(store=store, table=OWN_TABLE),
             routing=WatchedTable(
-                caller=caller,
+                store=store,
                 table=CONFIGURATION_TABLE,
                 decode=lambda _, document: decode_configuration(document),
                 keys=frozenset({CONFIGURATION_KEY}),
             ),
             read_routing=decode_configuration,
             directory=WatchedTable(
-                caller=caller, table=TARGETS_TABLE, decode=decode_target
+                store=store, table=TARGETS_TABLE, decode=decode_target
             ),
             targets=RunnerCalls(client=self._client),
             bytes_sent=lambda: self._client.bytes_sent,
         )
 
     def caller_server(
-        self, desk: CallerJobService, callers: socket, *, opened_at: float
+        self, jobs: CallerJobService, callers: socket, *, opened_at: float
     ) -> CallerServer:
-        """Return the servers for callers, on a listening socket, and the balancer.
+        """Return the servers for callers and for the load balancer.
 
-        :param opened_at: since when it listens, in seconds.
+        :param jobs: accepts the callers' jobs.
+        :param callers: the socket that callers connect to; it already listens.
+        :param opened_at: since when it listens, on the monotonic clock, in seconds.
         """
         return CallerServer(
             callers=callers,
             opened_at=opened_at,
             readiness=self._settings.readiness,
-            desk=desk,
+            jobs=jobs,
         )
 
     async def close(self) -> None:
--- a/src/cassiaturn/platform/_store_calls.py
+++ b/src/cassiaturn/platform/_store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store, and what its answers mean."""
+"""HTTP client of the platform's store, and the mapping of its errors."""
 
 from base64 import b64decode
 from binascii import Error as Base64Error
@@ -26,21 +26,22 @@
 )
 
 CALL_TIMEOUT_S = 1.5
-"""Longest wait for an answer, in seconds: some 300 times the usual one."""
+"""Timeout of a call, in seconds: about 300 times the usual response time."""
 
 DEFAULT_RETRY_AFTER_S = 0.5
-"""Pause after a refusal that names none, in seconds."""
+"""Pause after a refusal without a Retry-After header, in seconds."""
 
 ReplyT = TypeVar("ReplyT", bound=BaseModel)
 
 
-class StoreCaller:
-    """Calls to the store, with what each answer means for the call's effect."""
+class StoreClient:
+    """Calls the store; errors tell whether the call may have taken effect."""
 
     def __init__(self, *, client: HttpClient, address: str) -> None:
-        """Use a client.
+        """Create a client of one store.
 
-        :param address: the store's ``host:port``.
+        :param client: HTTP client for the calls.
+        :param address: address of the store, ``host:port``.
         """
         self._client = client
         self._address = address
@@ -48,7 +49,7 @@
     async def read(
         self, path: str, query: Mapping[str, str], timeout_s: float
     ) -> Result[Reply, ReadError]:
-        """Make a call that changes nothing."""
+        """Make a call without side effects."""
         called = await self._client.call(
             "GET", self._address, path, query=query, timeout_s=timeout_s
         )
@@ -63,7 +64,7 @@
         content: bytes | None = None,
         headers: Mapping[str, str] | None = None,
     ) -> Result[Reply, WriteError]:
-        """Make a call that may change something."""
+        """Make a call that may change the store."""
         called = await self._client.call(
             method,
             self._address,
@@ -73,43 +74,46 @@
             headers=headers,
             timeout_s=CALL_TIMEOUT_S,
         )
-        return called.alt(_write_error)
+        return called.alt(_call_error)
 
 
-def parsed(model: type[ReplyT], reply: Reply) -> Result[ReplyT, ReadError]:
-    """Return the document of a reply, or why there is none."""
+def parse_reply(model: type[ReplyT], reply: Reply) -> Result[ReplyT, ReadError]:
+    """Return the document of a reply, or the error that it stands for."""
     accepted = (HTTPStatus.OK, HTTPStatus.PRECONDITION_FAILED)
     if reply.status not in accepted:
-        return Failure(read_refusal_of(reply))
+        return Failure(to_read_error(reply))
     try:
         return Success(model.model_validate_json(reply.body))
     except ValidationError as error:
         return Failure(Misused(detail=f"malformed reply: {error.error_count()}"))
 
 
-def done(reply: Reply) -> Result[None, WriteError]:
-    """Return whether a change was made."""
+def check_done(reply: Reply) -> Result[None, WriteError]:
+    """Return success if the reply says that a change was made."""
     if reply.status in (HTTPStatus.OK, HTTPStatus.CREATED, HTTPStatus.NO_CONTENT):
         return Success(None)
-    return Failure(refusal_of(reply))
+    return Failure(to_write_error(reply))
 
 
-def _write_error(failure: CallFailure) -> WriteError:
+def _call_error(failure: CallFailure) -> WriteError:
     if isinstance(failure, ConnectionRefused):
         return Unavailable(detail=failure.detail)
     return AnswerLost(detail=failure.detail)
 
 
-def refusal_of(reply: Reply) -> WriteError:
-    """Return what a refused change says of its effect."""
+def to_write_error(reply: Reply) -> WriteError:
+    """Return the error of a refused write.
+
+    After a server error other than 503 the write may have taken effect.
+    """
     is_error = reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR
     if is_error and reply.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return AnswerLost(detail=f"status {reply.status}")
-    return read_refusal_of(reply)
+    return to_read_error(reply)
 
 
-def read_refusal_of(reply: Reply) -> ReadError:
-    """Return why a read was refused."""
+def to_read_error(reply: Reply) -> ReadError:
+    """Return the error of a refused read."""
     if reply.status == HTTPStatus.TOO_MANY_REQUESTS:
         return Throttled(retry_after_s=_retry_after_s(reply))
     if reply.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -126,8 +130,8 @@
         return DEFAULT_RETRY_AFTER_S
 
 
-def value_of(row: RowDocument) -> bytes | None:
-    """Return the content of a row; None if it is not base64."""
+def decode_value(row: RowDocument) -> bytes | None:
+    """Return the decoded value of a row; None if it is not base64."""
     try:
         return b64decode(row.value, validate=True)
     except Base64Error:
--- a/src/cassiaturn/platform/_targets.py
+++ b/src/cassiaturn/platform/_targets.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's runners, which are the product's targets."""
+"""Orders to the platform's runners, which cassiaturn calls targets."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -32,7 +32,7 @@
 
 EXPECTED_TARGET_HEADER = "X-Cassiaturn-Expected-Instance"
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 _ANSWER_BY_REASON = {
     "fence": StartAnswer.SUPERSEDED,
@@ -52,7 +52,7 @@
 
 
 class RunnerCalls:
-    """Implements the product's orders to targets."""
+    """Sends orders to targets over the platform's HTTP API."""
 
     def __init__(self, *, client: HttpClient) -> None:
         self._client = client
@@ -65,10 +65,10 @@
         lease_until_ms: int | None,
         timeout_s: float,
     ) -> StartReply:
-        """Order a start."""
-        body = _order(authority, order.ref, order.number)
+        """Order the start of a run."""
+        body = _order_fields(authority, order.ref, order.number)
         body["taskSpec"] = order.payload
-        # When the lease of all that runs there ends, not the task's limit.
+        # End of the lease of all runs on the target, not the task's time limit.
         body["deadlineMs"] = lease_until_ms
         body["checkpoint"] = order.checkpoint or None
         body["ticket"] = order.ticket or None
@@ -82,9 +82,9 @@
     async def stop(
         self, authority: Authority, ref: TaskRef, number: int, *, timeout_s: float
     ) -> Result[int, CallProblem]:
-        """Order a run to stop."""
-        body = _order(authority, ref, number)
-        return await self._clock(authority, STOP_PATH, body, timeout_s)
+        """Order the stop of a run."""
+        body = _order_fields(authority, ref, number)
+        return await self._call_for_clock(authority, STOP_PATH, body, timeout_s)
 
     async def pace(
         self,
@@ -95,9 +95,12 @@
         percent: int,
         timeout_s: float,
     ) -> Result[int, CallProblem]:
-        """Let a run work at a share of its speed, 0 to 100 percent."""
-        body = {**_order(authority, ref, number), "percent": percent}
-        return await self._clock(authority, PACE_PATH, body, timeout_s)
+        """Limit a run to a share of its full speed.
+
+        :param percent: the share, 0 to 100.
+        """
+        body = {**_order_fields(authority, ref, number), "percent": percent}
+        return await self._call_for_clock(authority, PACE_PATH, body, timeout_s)
 
     async def renew(
         self,
@@ -108,18 +111,18 @@
         wait_s: float,
         timeout_s: float,
     ) -> Result[LeaseReport, CallProblem]:
-        """Renew the lease of all that runs on a target, and ask what that is."""
+        """Renew the lease of all runs on a target, and ask for a list of them."""
         body: dict[str, object] = {
             "fencingToken": authority.token,
-            # Acknowledges every end up to this one.
+            # Acknowledges all ended runs up to this sequence number.
             "lastSeen": ended_seen,
-            "waitMs": round(wait_s * MILLISECONDS),
+            "waitMs": round(wait_s * MS_PER_S),
             "deadlineMs": lease_until_ms,
         }
         replied = await self._post(authority, RENEW_PATH, body, timeout_s)
-        return _checked(replied).bind(_to_report)
+        return _check_reply(replied).bind(_to_report)
 
-    async def _clock(
+    async def _call_for_clock(
         self,
         authority: Authority,
         path: str,
@@ -127,7 +130,7 @@
         timeout_s: float,
     ) -> Result[int, CallProblem]:
         replied = await self._post(authority, path, body, timeout_s)
-        return _checked(replied).bind(_to_clock)
+        return _check_reply(replied).bind(_to_clock)
 
     async def _post(
         self,
@@ -146,37 +149,40 @@
         )
 
 
-def _order(authority: Authority, ref: TaskRef, number: int) -> dict[str, object]:
-    """Return the fields that every order about a run has."""
+def _order_fields(authority: Authority, ref: TaskRef, number: int) -> dict[str, object]:
+    """Return the fields that all orders about a run share."""
     task = encode_ref(ref)
     return {"task": task, "run": number, "fencingToken": authority.token}
 
 
 def _to_start_reply(reply: Reply) -> StartReply:
-    told = _told(reply)
+    document = _parse_answer(reply)
     if reply.status == HTTPStatus.CONFLICT:
-        answer = _ANSWER_BY_REASON.get(told.reason, StartAnswer.INVALID)
+        answer = _ANSWER_BY_REASON.get(document.reason, StartAnswer.INVALID)
     else:
         answer = _ANSWER_BY_STATUS.get(reply.status, StartAnswer.UNKNOWN)
-    return StartReply(answer=answer, clock_ms=told.clock_ms)
+    return StartReply(answer=answer, clock_ms=document.clock_ms)
 
 
-def _checked(
+def _check_reply(
     replied: Result[Reply, CallFailure],
 ) -> Result[Reply, CallProblem]:
-    """Return the reply of a call that was obeyed, or why there is none."""
+    """Return the reply of an accepted order, or the problem with the call."""
     match replied:
         case Success(reply):
             if reply.status == HTTPStatus.OK:
                 return Success(reply)
             if reply.status == HTTPStatus.MISDIRECTED_REQUEST:
                 return Failure(Gone(reason="other_life"))
-            if reply.status == HTTPStatus.CONFLICT and _told(reply).reason == "fence":
+            if (
+                reply.status == HTTPStatus.CONFLICT
+                and _parse_answer(reply).reason == "fence"
+            ):
                 return Failure(Superseded())
             return Failure(NoAnswer(detail=f"status {reply.status}"))
         case Failure(failure):
-            # A refused connection is no proof that the target's process ended: a
-            # partition may refuse connections while tasks run on.
+            # A refused connection does not prove that the target's process ended: a
+            # network partition may refuse connections while tasks continue to run.
             return Failure(NoAnswer(detail=failure.detail))
     raise AssertionError("a result is a success or a failure")
 
@@ -189,15 +195,15 @@
 
 
 def _to_clock(reply: Reply) -> Result[int, CallProblem]:
-    clock_ms = _told(reply).clock_ms
+    clock_ms = _parse_answer(reply).clock_ms
     if clock_ms is None:
         return Failure(NoAnswer(detail="malformed answer"))
     return Success(clock_ms)
 
 
-def _told(reply: Reply) -> ClockReply:
+def _parse_answer(reply: Reply) -> ClockReply:
     try:
         return ClockReply.model_validate_json(reply.body)
     except ValidationError:
-        # Unhealthy targets answer without a body.
+        # Unhealthy targets answer with an empty body.
         return ClockReply()
--- a/src/cassiaturn/platform/_watched.py
+++ b/src/cassiaturn/platform/_watched_table.py
@@ -1,4 +1,4 @@
-"""Lists in the platform's store, with their changes."""
+"""Reads lists in the platform's store and follows their changes."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -9,13 +9,13 @@
 from cassiaturn.fleet import Changes, EntryT, HistoryLost, Snapshot
 from cassiaturn.observability import Event, SeldomLog
 from cassiaturn.platform._documents import RowsReply
-from cassiaturn.platform._store_calls import (
+from cassiaturn.platform._store_client import (
     CALL_TIMEOUT_S,
-    StoreCaller,
-    parsed,
-    value_of,
+    StoreClient,
+    decode_value,
+    parse_reply,
 )
-from cassiaturn.platform._table import AFTER_KEY, READ_PATH
+from cassiaturn.platform._table import NEXT_KEY_SUFFIX, READ_PATH
 from cassiaturn.services import (
     ReadError,
 )
@@ -23,34 +23,35 @@
 
 FEED_PATH = "/api/rows-feed"
 
-FEED_SLACK_S = 0.7
-"""How much longer than asked an answer about changes may take, in seconds."""
+FEED_EXTRA_TIMEOUT_S = 0.7
+"""Timeout of a feed call beyond the wait that it asks for, in seconds."""
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class WatchedTable(Generic[EntryT]):
-    """One list of the store, with its changes."""
+    """A list in the store whose changes can be polled."""
 
     def __init__(
         self,
         *,
-        caller: StoreCaller,
+        store: StoreClient,
         table: str,
         decode: Callable[[str, bytes], EntryT | None],
         keys: frozenset[str] | None = None,
     ) -> None:
-        """Prepare to read a list.
+        """Create a reader of one list.
 
+        :param store: client of the store.
         :param table: name of the table.
-        :param decode: reads one row by its key; None: it is malformed.
-        :param keys: the keys that belong to the list; None: all.
+        :param decode: decodes a row's key and value; returns None if malformed.
+        :param keys: keys that belong to the list; None for all.
         """
-        self._caller = caller
+        self._store = store
         self._table = table
         self._decode = decode
         self._keys = keys
-        self._malformed = SeldomLog()
+        self._malformed_log = SeldomLog()
 
     async def snapshot(self) -> "Result[Snapshot[EntryT], ReadError]":
         """Return every entry."""
@@ -61,33 +62,38 @@
             query = {"table": self._table, "part": ""}
             if first:
                 query["from"] = first
-            read = await self._caller.read(READ_PATH, query, CALL_TIMEOUT_S)
-            match read.bind(lambda reply: parsed(RowsReply, reply)):
+            read = await self._store.read(READ_PATH, query, CALL_TIMEOUT_S)
+            match read.bind(lambda reply: parse_reply(RowsReply, reply)):
                 case Failure(error):
                     return Failure(error)
                 case Success(page):
-                    # Changes after the first page's moment are asked for again.
+                    # Later pages may be newer: keep the first page's version, so that
+                    # changes made while reading are requested again.
                     version = page.row_version if version is None else version
                     entries.update(
-                        {key: row for key, row in self._read(page) if row is not None}
+                        {
+                            key: row
+                            for key, row in self._decode_rows(page)
+                            if row is not None
+                        }
                     )
                     if not page.truncated or not page.rows:
                         return Success(
                             Snapshot(version=version, entries_by_key=entries)
                         )
-                    first = page.rows[-1].key + AFTER_KEY
+                    first = page.rows[-1].key + NEXT_KEY_SUFFIX
 
     async def changes(
         self, after: int, wait_s: float
     ) -> "Result[Changes[EntryT], ReadError | HistoryLost]":
-        """Return what has changed, as soon as anything has."""
+        """Wait for changes after a version and return them."""
         query = {
             "table": self._table,
             "after": str(after),
-            "waitMs": str(round(wait_s * MILLISECONDS)),
+            "waitMs": str(round(wait_s * MS_PER_S)),
         }
-        timeout_s = wait_s + FEED_SLACK_S
-        read: Result[Reply, ReadError | HistoryLost] = await self._caller.read(
+        timeout_s = wait_s + FEED_EXTRA_TIMEOUT_S
+        read: Result[Reply, ReadError | HistoryLost] = await self._store.read(
             FEED_PATH, query, timeout_s
         )
         return read.bind(self._to_changes)
@@ -97,13 +103,13 @@
     ) -> "Result[Changes[EntryT], ReadError | HistoryLost]":
         if reply.status == HTTPStatus.GONE:
             return Failure(HistoryLost())
-        return parsed(RowsReply, reply).map(
+        return parse_reply(RowsReply, reply).map(
             lambda page: Changes(
-                version=page.row_version, entries_by_key=dict(self._read(page))
+                version=page.row_version, entries_by_key=dict(self._decode_rows(page))
             )
         )
 
-    def _read(self, page: RowsReply) -> "list[tuple[str, EntryT | None]]":
+    def _decode_rows(self, page: RowsReply) -> "list[tuple[str, EntryT | None]]":
         found: list[tuple[str, EntryT | None]] = []
         for row in page.rows:
             if row.part or (self._keys is not None and row.key not in self._keys):
@@ -111,11 +117,11 @@
             if row.tombstone:
                 found.append((row.key, None))
                 continue
-            value = value_of(row)
+            value = decode_value(row)
             entry = self._decode(row.key, value) if value is not None else None
             if entry is None:
                 event, version = Event.ENTRY_MALFORMED, row.row_version
-                self._malformed.log(event, key=row.key, version=version)
-            # Whatever it named before, it names nothing now.
+                self._malformed_log.log(event, key=row.key, version=version)
+            # A malformed row also removes the earlier entry of its key.
             found.append((row.key, entry))
         return found
--- a/src/cassiaturn/platform/tests/fleet.py
+++ b/src/cassiaturn/platform/tests/fleet.py
@@ -14,7 +14,7 @@
 from cassiaturn.load import Relay, RelayPlace
 from cassiaturn.load._ports import free_ports
 from cassiaturn.platform import PlatformAdapter
-from cassiaturn.platform._entry import CallerServer
+from cassiaturn.platform._caller_server import CallerServer
 from cassiaturn.platform.tests.standin_runner import SERVICE, StandinRunner
 from cassiaturn.platform.tests.standin_store import LOOPBACK, StandinStore
 from cassiaturn.settings import FleetSettings
--- a/src/cassiaturn/platform/tests/test_directory_changes.py
+++ b/src/cassiaturn/platform/tests/test_directory_changes.py
@@ -25,7 +25,7 @@
 within the time in which a target has to answer an order, which is sent after them."""
 
 
-def _entry(number: int, state: str = "ready") -> dict[str, object]:
+def _target_entry(number: int, state: str = "ready") -> dict[str, object]:
     """Return the entry of a target that gets no calls: its service has no queue."""
     return {
         "service": "other",
@@ -40,7 +40,7 @@
 
 async def _publish_many(fleet: Fleet) -> None:
     for number in range(TARGETS):
-        fleet.store.state.put("servers", f"other-{number}", _entry(number))
+        fleet.store.state.put("servers", f"other-{number}", _target_entry(number))
     wanted = TARGETS + len(fleet.runners)
     await fleet.until(lambda: all(n == wanted for n in _known_targets(fleet)))
     await asyncio.sleep(0.5)
@@ -69,7 +69,7 @@
     await _publish_many(fleet)
     before = _sent_bytes(fleet)
     for number in range(REPLACED):
-        entry = _entry(number, "draining")
+        entry = _target_entry(number, "draining")
         fleet.store.state.put("servers", f"other-{number}", entry)
     await fleet.until(
         lambda: all(
--- a/src/cassiaturn/platform/tests/test_start.py
+++ b/src/cassiaturn/platform/tests/test_start.py
@@ -13,7 +13,7 @@
 
 from cassiaturn.entities import Address, JobRequest, Route
 from cassiaturn.fleet import MemberJobService
-from cassiaturn.platform._entry import CallerServer
+from cassiaturn.platform._caller_server import CallerServer
 from cassiaturn.platform.tests.fleet import CONFIGURATION, HOST, PREFIX, free_addresses
 from cassiaturn.platform.tests.standin_runner import StandinRunner
 from cassiaturn.platform.tests.standin_store import StandinStore
@@ -128,7 +128,7 @@
     assert connected_at < imported_at - LEAST_IMPORT_TIME
 
 
-class _WaitNotingDesk(MemberJobService):
+class _RecordingJobService(MemberJobService):
     """Completes every job, and keeps how long its caller had waited."""
 
     is_stopping = False
@@ -157,11 +157,11 @@
     """
     address, readiness = free_addresses(2)
     port = socket.create_server((address.host, address.port))
-    desk = _WaitNotingDesk()
+    service = _RecordingJobService()
     opened_at = time.monotonic() - 0.4
     callers = [await _connect(address) for _ in range(2)]
     server = CallerServer(
-        callers=port, opened_at=opened_at, readiness=readiness, desk=desk
+        callers=port, opened_at=opened_at, readiness=readiness, jobs=service
     )
     server.start()
     for reader, writer in (*callers, callers[0]):
@@ -171,7 +171,7 @@
     for _, writer in callers:
         writer.close()
     await server.close()
-    assert desk.waits_s[0] > desk.waits_s[1] > 0.05 > desk.waits_s[2]
+    assert service.waits_s[0] > service.waits_s[1] > 0.05 > service.waits_s[2]
 
 
 async def _connect(
--- a/src/cassiaturn/platform/tests/test_store.py
+++ b/src/cassiaturn/platform/tests/test_store.py
@@ -9,9 +9,9 @@
 from cassiaturn.fleet import HistoryLost
 from cassiaturn.fleet._leader_row import LeaderRow
 from cassiaturn.fleet._leadership import Leadership, RowState
-from cassiaturn.platform._store_calls import StoreCaller
+from cassiaturn.platform._store_client import StoreClient
 from cassiaturn.platform._table import PlatformObjects, PlatformTable
-from cassiaturn.platform._watched import WatchedTable
+from cassiaturn.platform._watched_table import WatchedTable
 from cassiaturn.platform.tests.standin_store import Fault, StandinStore
 from cassiaturn.services import (
     AnswerLost,
@@ -33,11 +33,11 @@
         self.store.start()
         self.state = self.store.state
         self.client = HttpClient()
-        self.caller = StoreCaller(client=self.client, address=self.store.address)
-        self.table = PlatformTable(caller=self.caller, table="own")
-        self.objects = PlatformObjects(caller=self.caller)
+        self.store_client = StoreClient(client=self.client, address=self.store.address)
+        self.table = PlatformTable(store=self.store_client, table="own")
+        self.objects = PlatformObjects(store=self.store_client)
         self.watched: WatchedTable[str] = WatchedTable(
-            caller=self.caller, table="op", decode=lambda _, value: value.decode()
+            store=self.store_client, table="op", decode=lambda _, value: value.decode()
         )
 
 
@@ -96,8 +96,8 @@
 
 async def test_a_store_that_nobody_listens_for_had_no_effect() -> None:
     client = HttpClient()
-    caller = StoreCaller(client=client, address="127.0.0.1:1")
-    table = PlatformTable(caller=caller, table="own")
+    store_client = StoreClient(client=client, address="127.0.0.1:1")
+    table = PlatformTable(store=store_client, table="own")
     failure = (await table.transact([Put(key="a", value="1")])).failure()
     assert isinstance(failure, Unavailable)
     await client.close()
