--- a/src/cassiaturn/platform/tests/conftest.py
+++ b/src/cassiaturn/platform/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A store, runners and members on loopback."""
+"""Fixture with a store, runners and members on loopback."""
 
 from collections.abc import AsyncIterator
 
--- a/src/cassiaturn/platform/tests/fleet.py
+++ b/src/cassiaturn/platform/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Real members in one event loop, over the stand-ins of the platform."""
+"""Real members in one event loop, on fakes of the platform's store and runners."""
 
 import asyncio
 import socket
@@ -25,8 +25,8 @@
 
 PREFIX = "/jobs/"
 
-NARROW_MBPS = 12.5
-"""Link of every member that a test says nothing of."""
+DEFAULT_LINK_MBPS = 12.5
+"""Link of a member unless a test states another, in megabits per second; narrow."""
 
 CONFIGURATION = {
     "version": 3,
@@ -48,36 +48,36 @@
 
 
 def free_addresses(count: int) -> Sequence[Address]:
-    """Return addresses on loopback that nobody listens at."""
+    """Return addresses on loopback that nothing listens on."""
     return [Address(host=LOOPBACK, port=port) for port in free_ports(count)]
 
 
-class _SilencedClient(HttpClient):
-    """A client whose calls can be kept from leaving the host."""
+class _InterruptibleClient(HttpClient):
+    """An HTTP client whose calls can be made to time out."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.is_silenced = False
-        self.is_cut_from = ""
+        self.is_unreachable = False
+        self.blocked_address = ""
 
     async def call(
         self, method: str, address: str, path: str, *, timeout_s: float, **options: Any
     ) -> Result[Reply, CallFailure]:
-        if not self._is_lost(address):
+        if not self._is_blocked(address):
             result = await super().call(
                 method, address, path, timeout_s=timeout_s, **options
             )
-            if not self._is_lost(address):
+            if not self._is_blocked(address):
                 return result
         await asyncio.sleep(timeout_s)
         return Failure(NoReply(detail="silenced"))
 
-    def _is_lost(self, address: str) -> bool:
-        return self.is_silenced or address == self.is_cut_from
+    def _is_blocked(self, address: str) -> bool:
+        return self.is_unreachable or address == self.blocked_address
 
 
 class RunningMember:
-    """One member with its servers, as a process has them."""
+    """One member with the servers that its process has."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         *,
         store: str,
         seeds: tuple[Address, ...],
-        link_mbps: float = NARROW_MBPS,
+        link_mbps: float = DEFAULT_LINK_MBPS,
         failure_domain: str = "a",
     ) -> None:
         host, _, port = store.rpartition(":")
@@ -102,7 +102,7 @@
             table_service=Address(host=host, port=int(port)),
             link_mbps=link_mbps,
         )
-        self._client = _SilencedClient()
+        self._client = _InterruptibleClient()
         self.adapter = PlatformAdapter(self.settings, client=self._client)
         self.member = Member(settings=self.settings, services=self.adapter.services())
         self.callers: CallerServer = self.adapter.caller_server(
@@ -129,21 +129,21 @@
         await self._relay.start()
         self._task = asyncio.get_running_loop().create_task(self.member.run())
 
-    def stand_still(self) -> None:
-        """Say and hear nothing more, and close no connection, as a frozen host does."""
+    def freeze_host(self) -> None:
+        """Block all traffic without closing connections, as a frozen host does."""
         self._relay.cut()
-        self._client.is_silenced = True
+        self._client.is_unreachable = True
 
     def cut_from_store(self) -> None:
-        """Let no call to the store get an answer; others work on."""
-        self._client.is_cut_from = str(self.settings.table_service)
+        """Make every call to the store time out; other calls still work."""
+        self._client.blocked_address = str(self.settings.table_service)
 
-    def strand_streams(self) -> None:
-        """Let every connection that others have to it fall silent for good."""
+    def silence_open_connections(self) -> None:
+        """Block the open connections of other members for good; new ones work."""
         self._relay.strand()
 
     async def kill(self) -> None:
-        """End everything at once, as a killed process does."""
+        """End everything at once, like a killed process."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -171,21 +171,21 @@
             self.publish(runner)
         for index in range(3):
             await self.add_member(f"front-{index}")
-        await self.until(lambda: all(row.member.is_ready for row in self.members))
+        await self.until(lambda: all(member.member.is_ready for member in self.members))
         await self.until(lambda: self.heard_targets() == 4)
 
     def publish(self, runner: StandinRunner, state: str = "ready") -> None:
-        """Let a runner write its entry."""
+        """Write a runner's directory entry."""
         self.store.state.put("servers", runner.target.target_id, runner.entry(state))
 
     async def add_member(
         self,
         name: str,
         *,
-        link_mbps: float = NARROW_MBPS,
+        link_mbps: float = DEFAULT_LINK_MBPS,
         failure_domain: str = "a",
     ) -> RunningMember:
-        seeds = tuple(row.settings.members for row in self.members[:2])
+        seeds = tuple(member.settings.members for member in self.members[:2])
         member = RunningMember(
             name,
             store=self.store.address,
@@ -198,32 +198,34 @@
         return member
 
     def leader(self) -> RunningMember:
-        return next(row for row in self.members if row.member.leader is not None)
+        return next(
+            member for member in self.members if member.member.leader is not None
+        )
 
     def heard_targets(self) -> int:
-        """Return how many targets the leader hears; 0 without a leader."""
-        return max(row.member.leader_hears_targets for row in self.members)
+        """Return how many targets have reported to the leader; 0 without a leader."""
+        return max(member.member.leader_hears_targets for member in self.members)
 
     def followers(self) -> list[RunningMember]:
-        return [row for row in self.members if row.member.leader is None]
+        return [member for member in self.members if member.member.leader is None]
 
     async def kill(self, member: RunningMember) -> None:
         self.members.remove(member)
         await member.kill()
 
     async def until(self, condition, timeout_s: float = 8.0) -> None:  # type: ignore[no-untyped-def]
-        """Wait for a condition.
+        """Poll until a condition holds.
 
-        :raises TimeoutError: it does not come true.
+        :raises TimeoutError: it does not hold within the timeout.
         """
         async with asyncio.timeout(timeout_s):
-            while not condition():  # noqa: ASYNC110 - nothing tells of it
+            while not condition():  # noqa: ASYNC110 - no event to wait for
                 await asyncio.sleep(0.01)
 
     async def request(
         self, member: RunningMember, method: str, path: str, **options: object
     ) -> tuple[int, str, str]:
-        """Make one call; returns status, body and when to come back."""
+        """Make one request; return status, body and Retry-After header."""
         headers = {"Host": HOST, "X-Cassiaturn-Deadline-Ms": "1500"}
         headers.update(options.pop("headers", {}))  # type: ignore[call-overload]
         url = f"http://{member.settings.callers}{path}"
@@ -237,7 +239,7 @@
             return response.status, text, response.headers.get("Retry-After", "")
 
     async def readiness(self, member: RunningMember) -> int:
-        """Ask as the balancer does; returns the status."""
+        """Return the status of the load balancer's readiness probe."""
         url = f"http://{member.settings.readiness}/api/readiness"
         async with self._client().get(url) as response:
             return response.status
--- a/src/cassiaturn/platform/tests/standin_runner.py
+++ b/src/cassiaturn/platform/tests/standin_runner.py
@@ -1,4 +1,4 @@
-"""A runner that speaks the platform's protocol, over a virtual target's rules."""
+"""A fake runner: the platform's protocol in front of a virtual target."""
 
 import asyncio
 import json
@@ -16,9 +16,9 @@
 SERVICE = "svc"
 
 TASK = Resources(cpu_millis=4_000)
-"""What every task takes; a start does not tell."""
+"""Resources of every task; start orders do not contain them."""
 
-WORD_BY_END = {
+END_NAME_BY_END = {
     RunEnd.DONE: "done",
     RunEnd.FAILED: "failed",
     RunEnd.STOPPED: "stopped",
@@ -33,7 +33,7 @@
 
 
 class StandinRunner:
-    """One life of a runner behind one port."""
+    """One incarnation of a runner on one port."""
 
     def __init__(self, target_id: str, *, run_s: float = 0.05, zone: str = "a") -> None:
         self.target = VirtualTarget(
@@ -44,10 +44,10 @@
         self.token = 0
         self.silent = False
         self.block_loop_s = 0.0
-        """How long the next start keeps the whole process from doing anything."""
+        """For how long the next start order blocks the whole process, in seconds."""
         self.starts: list[TaskRef] = []
         self.overlaps = 0
-        self.looks = 0
+        self.lease_requests = 0
         self.address = ""
         shared = {"runner": self}
         self._server = HTTPServer(
@@ -71,7 +71,7 @@
         await self._server.close_all_connections()
 
     def entry(self, state: str = "ready") -> dict[str, object]:
-        """Return what it publishes of itself."""
+        """Return the directory entry that it publishes."""
         return {
             "service": SERVICE,
             "address": self.address,
@@ -155,7 +155,7 @@
 class _Hold(_Handler):
     async def post(self) -> None:
         runner = self.runner
-        runner.looks += 1
+        runner.lease_requests += 1
         self.renew()
         seen = self.body.get("lastSeen", 0)
         end_at = time.monotonic() + self.body.get("waitMs", 0) / 1000
@@ -173,7 +173,13 @@
                 for row in report.running
             ],
             ended=[
-                [row.sequence, encode_ref(row.ref), row.run, WORD_BY_END[row.end], ""]
+                [
+                    row.sequence,
+                    encode_ref(row.ref),
+                    row.run,
+                    END_NAME_BY_END[row.end],
+                    "",
+                ]
                 for row in report.ended
             ],
         )
--- a/src/cassiaturn/platform/tests/standin_store.py
+++ b/src/cassiaturn/platform/tests/standin_store.py
@@ -1,4 +1,4 @@
-"""A small store that speaks the platform's protocol, with faults on request."""
+"""A fake store that speaks the platform's protocol and can inject faults."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class Fault(Enum):
-    """What is wrong with the store."""
+    """The fault to inject."""
 
     NONE = auto()
     BUSY = auto()
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoreState:
-    """Its rows and its history."""
+    """Rows, change history and objects of the store."""
 
     version: int = 0
     rows: dict[tuple[str, str, str], tuple[str, int]] = field(default_factory=dict)
@@ -39,7 +39,7 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, table: str, key: str, value: object) -> None:
-        """Write a row as an operator or a target does."""
+        """Write a row, as an operator or a target does."""
         text = value if isinstance(value, str) else json.dumps(value)
         self.commit([(table, "", key, b64encode(text.encode()).decode())])
 
@@ -48,7 +48,7 @@
         self.commit([(table, "", key, None)])
 
     def commit(self, writes: list[tuple[str, str, str, str | None]]) -> None:
-        """Make every write of a transaction."""
+        """Apply all writes of a transaction."""
         self.version += 1
         for table, part, key, value in writes:
             self.history.append((self.version, table, part, key, value))
@@ -64,7 +64,7 @@
         self.history_from = self.version
 
     def row(self, table: str, part: str, key: str) -> dict[str, object]:
-        """Return a row as it stands on the wire."""
+        """Return a row in wire format."""
         value, version = self.rows.get((table, part, key), ("", 0))
         return {
             "table": table,
@@ -76,7 +76,7 @@
 
 
 class StandinStore:
-    """The store behind one port."""
+    """The store on one port."""
 
     def __init__(self) -> None:
         self.state = StoreState()
@@ -126,12 +126,12 @@
         self.set_status(status)
         self.finish(json.dumps(document))
 
-    def break_off(self) -> None:
+    def drop_connection(self) -> None:
         stream = self.request.connection.detach()  # type: ignore[union-attr]
         stream.close()
         self._finished = True
 
-    def stamped(self, rows: list[dict[str, object]]) -> dict[str, object]:
+    def with_version(self, rows: list[dict[str, object]]) -> dict[str, object]:
         return {"rows": rows, "rowVersion": self.state.version, "nowMs": 1}
 
 
@@ -145,12 +145,12 @@
             return
         conditions = document.get("precondition", [])
         current = [state.row(r["table"], r["part"], r["key"]) for r in conditions]
-        held = all(
+        conditions_hold = all(
             row["rowVersion"] == condition["rowVersion"]
             for row, condition in zip(current, conditions, strict=True)
         )
-        if not held:
-            self.reply(412, self.stamped([r for r in current if r["rowVersion"]]))
+        if not conditions_hold:
+            self.reply(412, self.with_version([r for r in current if r["rowVersion"]]))
             return
         changes = [(r["table"], r["part"], r["key"], r["value"]) for r in writes]
         changes += [
@@ -158,7 +158,7 @@
         ]
         state.commit(changes)
         if state.fault is Fault.ANSWER_LOST:
-            self.break_off()
+            self.drop_connection()
             return
         self.reply(200, {"rowVersion": state.version, "nowMs": 1})
 
@@ -173,12 +173,12 @@
         limit = int(self.get_argument("limit", "500"))
         keys = sorted(
             key
-            for found, place, key in state.rows
-            if found == table and place == part and key >= first
+            for row_table, row_part, key in state.rows
+            if row_table == table and row_part == part and key >= first
         )
         keys = [key for key in keys if not end or key < end]
         rows = [state.row(table, part, key) for key in keys[:limit]]
-        self.reply(200, {**self.stamped(rows), "truncated": len(keys) > limit})
+        self.reply(200, {**self.with_version(rows), "truncated": len(keys) > limit})
 
 
 class _Feed(_Handler):
@@ -195,19 +195,19 @@
                 return
             rows = [
                 {
-                    "table": found,
+                    "table": row_table,
                     "part": part,
                     "key": key,
                     "value": value or "",
                     "rowVersion": version,
                     "tombstone": value is None,
                 }
-                for version, found, part, key, value in state.history
-                if found == table and version > after
+                for version, row_table, part, key, value in state.history
+                if row_table == table and version > after
             ]
             left_s = end_at - loop.time()
             if rows or left_s <= 0:
-                self.reply(200, self.stamped(rows))
+                self.reply(200, self.with_version(rows))
                 return
             try:
                 async with asyncio.timeout(left_s):
--- a/src/cassiaturn/platform/tests/test_boundary.py
+++ b/src/cassiaturn/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in the adapter only, and the adapter stays small."""
+"""Only the adapter uses the platform's names, and the adapter stays small."""
 
 import re
 from pathlib import Path
@@ -14,15 +14,15 @@
     r"|targetLatencyMs|admissionCheck|checkpointing|longRunning|mayMiss|nowMs)\b"
 )
 
-MOST_LINES = 1_500
-"""Lines of the adapter without its tests: it translates and decides nothing."""
+MAX_LINES = 1_500
+"""Limit on the adapter's lines without tests: it only translates messages."""
 
 
 def _sources() -> list[Path]:
     return [path for path in SOURCE.rglob("*.py") if ADAPTER not in path.parents]
 
 
-def test_nothing_outside_the_adapter_holds_a_name_of_the_wire() -> None:
+def test_wire_names_appear_only_in_the_adapter() -> None:
     sources = _sources()
     assert len(sources) > 200
     found = [
@@ -33,7 +33,7 @@
     assert not found
 
 
-def test_only_the_start_of_a_process_knows_the_adapter() -> None:
+def test_only_process_startup_imports_the_adapter() -> None:
     users = {
         str(path.relative_to(SOURCE))
         for path in _sources()
@@ -44,4 +44,4 @@
 
 def test_the_adapter_stays_small() -> None:
     lines = sum(len(path.read_text().splitlines()) for path in ADAPTER.glob("*.py"))
-    assert lines < MOST_LINES
+    assert lines < MAX_LINES
--- a/src/cassiaturn/platform/tests/test_caller_limits.py
+++ b/src/cassiaturn/platform/tests/test_caller_limits.py
@@ -1,4 +1,4 @@
-"""Callers that wait another time than the timeout of their route."""
+"""Callers whose own timeout differs from that of their route."""
 
 import asyncio
 import time
@@ -21,17 +21,21 @@
 async def _publish(fleet: Fleet, version: int, timeout_ms: int) -> None:
     fleet.store.state.put("op", "config", _with_timeout(version, timeout_ms))
     await fleet.until(
-        lambda: all(row.member.routing.version == version for row in fleet.members)
+        lambda: all(
+            member.member.routing.version == version for member in fleet.members
+        )
     )
 
 
-async def _submit(fleet: Fleet, number: int, told: str) -> tuple[int, str, str]:
+async def _submit(
+    fleet: Fleet, number: int, timeout_header: str
+) -> tuple[int, str, str]:
     step = {"count": 2, "cpu": 4_000, "memMb": 64, "estimatedMs": 50}
     return await fleet.request(
         fleet.members[number % 3],
         "POST",
         f"{PREFIX}{number:016x}",
-        headers={"X-Cassiaturn-Deadline-Ms": told},
+        headers={"X-Cassiaturn-Deadline-Ms": timeout_header},
         json={"taskSpec": "x", "bestEffort": True, "steps": [step]},
     )
 
@@ -43,19 +47,21 @@
     return fleet
 
 
-@pytest.mark.parametrize("told", ["4000", "", "0", "-5", "nan", "inf", "soon"])
+@pytest.mark.parametrize(
+    "timeout_header", ["4000", "", "0", "-5", "nan", "inf", "soon"]
+)
 async def test_a_job_longer_than_its_routes_timeout_is_served(
-    long_runs: Fleet, told: str
+    long_runs: Fleet, timeout_header: str
 ) -> None:
-    """A job was ended at its route's timeout while its caller still waited."""
+    """Jobs were ended at their route's timeout although the caller still waited."""
     await _publish(long_runs, 5, timeout_ms=200)
-    assert (await _submit(long_runs, 1, told))[:2] == COMPLETED
+    assert (await _submit(long_runs, 1, timeout_header))[:2] == COMPLETED
 
 
-async def test_a_timeout_that_changes_while_jobs_run_ends_none(
+async def test_changing_a_route_timeout_ends_no_running_job(
     long_runs: Fleet,
 ) -> None:
-    """An operator shortened a route's timeout, and jobs under way were ended."""
+    """An operator shortened a route's timeout, and running jobs were ended."""
     waiting = []
     for version, timeout_ms in ((5, 1500), (6, 100), (9, 0), (12, 300)):
         await _publish(long_runs, version, timeout_ms=timeout_ms)
@@ -67,10 +73,10 @@
     assert {answer[:2] for answer in answers} == {COMPLETED}
 
 
-async def test_a_caller_that_waits_less_than_its_routes_timeout_is_told_in_time(
+async def test_a_caller_with_a_shorter_timeout_than_its_route_is_answered_in_time(
     long_runs: Fleet,
 ) -> None:
-    """A caller was answered after it had gone."""
+    """A caller was answered only after its own timeout."""
     await _publish(long_runs, 5, timeout_ms=4000)
     began_at = time.monotonic()
     assert (await _submit(long_runs, 1, "300"))[0] == 504
--- a/src/cassiaturn/platform/tests/test_decode.py
+++ b/src/cassiaturn/platform/tests/test_decode.py
@@ -1,4 +1,4 @@
-"""Messages of the platform, good ones and hostile ones."""
+"""Decoding of the platform's messages, valid and hostile."""
 
 import json
 from typing import Any
@@ -90,7 +90,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_job_or_a_reason(body: bytes) -> None:
+def test_any_bytes_decode_to_a_job_or_a_reason(body: bytes) -> None:
     match decode_job(JOB_ID, body):
         case Success(request):
             assert request.groups
@@ -100,7 +100,7 @@
 
 @settings(max_examples=200)
 @given(JSON)
-def test_any_document_is_read_or_refused(document: Any) -> None:
+def test_any_document_is_decoded_or_rejected(document: Any) -> None:
     body = json.dumps(document).encode()
     decode_job(JOB_ID, body)
     decode_lease_report(body)
@@ -108,7 +108,7 @@
     decode_target("i-1", body)
 
 
-def test_a_configuration_is_read_whole() -> None:
+def test_a_configuration_is_decoded_completely() -> None:
     table = decode_configuration(json.dumps(CONFIGURATION).encode())
     assert table is not None
     (route,) = table.routes
@@ -137,7 +137,7 @@
     assert found.name == "long"
 
 
-def test_a_lease_report_with_and_without_the_fifth_entry() -> None:
+def test_a_lease_report_with_and_without_recent_load() -> None:
     body = {
         "clockMs": 12,
         "running": [
@@ -183,9 +183,7 @@
 
 
 @given(st.integers(0, 99), st.integers(0, 99), st.integers(0, 9_999))
-def test_task_names_are_read_as_they_are_written(
-    k: int, group: int, index: int
-) -> None:
+def test_task_names_round_trip(k: int, group: int, index: int) -> None:
     ref = TaskRef(JOB_ID, k, group, index)
     assert decode_ref(encode_ref(ref)) == ref
 
--- a/src/cassiaturn/platform/tests/test_directory_changes.py
+++ b/src/cassiaturn/platform/tests/test_directory_changes.py
@@ -1,4 +1,4 @@
-"""What the leader sends to its followers when targets or members change."""
+"""Traffic from the leader to its followers when targets or members change."""
 
 import asyncio
 import time
@@ -9,24 +9,24 @@
 from cassiaturn.platform.tests.standin_store import LOOPBACK
 
 TARGETS = 250
-"""Targets of a deployment that is larger than this fleet."""
+"""Targets of a large deployment."""
 
 REPLACED = 23
-"""Of these, so many announce at once that they leave."""
+"""Targets that start draining at the same time."""
 
 FOLLOWERS = 30
-"""Followers of a leader there."""
+"""Followers in the large deployment."""
 
 LINK_BYTES_PER_S = 12.5e6 / 8
-"""What its host may send, the narrowest of such a deployment."""
+"""Narrowest link of a leader's host in such a deployment."""
 
 CHANGE_BYTES = LINK_BYTES_PER_S * ORDER_TIMEOUT_S / (REPLACED * FOLLOWERS)
-"""Most that one change may cost for each follower: all of them together leave the link
-within the time in which a target has to answer an order, which is sent after them."""
+"""Limit on the bytes per change and follower: the link must send all of them within the
+timeout of an order to a target, because the order is queued behind them."""
 
 
 def _target_entry(number: int, state: str = "ready") -> dict[str, object]:
-    """Return the entry of a target that gets no calls: its service has no queue."""
+    """Return the entry of a target that gets no calls: no route uses its service."""
     return {
         "service": "other",
         "address": f"{LOOPBACK}:{20_000 + number}",
@@ -42,29 +42,28 @@
     for number in range(TARGETS):
         fleet.store.state.put("servers", f"other-{number}", _target_entry(number))
     wanted = TARGETS + len(fleet.runners)
-    await fleet.until(lambda: all(n == wanted for n in _known_targets(fleet)))
+    await fleet.until(lambda: all(known == wanted for known in _known_targets(fleet)))
     await asyncio.sleep(0.5)
 
 
 def _known_targets(fleet: Fleet) -> list[int]:
-    """Return how many targets each follower knows of."""
-    return [len(row.member.known_targets) for row in fleet.followers()]
+    """Return the number of targets that each follower knows."""
+    return [len(member.member.known_targets) for member in fleet.followers()]
 
 
 def _sent_bytes(fleet: Fleet) -> int:
     return sum(fleet.leader().member.load.bytes_by_kind.values())
 
 
-async def test_targets_that_leave_together_do_not_fill_the_leaders_link(
+async def test_targets_that_drain_together_do_not_saturate_the_leaders_link(
     fleet: Fleet,
 ) -> None:
-    """23 of 250 targets announce at once that they leave; all others work on.
+    """23 of 250 targets start draining at once.
 
-    Callers get no answer in time for seconds: orders to targets time out, and nearly
-    all targets count as silent. For each single change the leader sent the list of all
-    members and targets to each follower, and orders and answers waited behind it. Shown
-    by a leader with a link of 12.5 MB/s: lists of up to 15 MB/s in just those seconds,
-    frames that waited for 1.4 s, and an event loop that was 31 ms late at the most.
+    For every single change the leader sent the whole list of members and targets to
+    each follower. On a link of 12.5 MB/s the lists took up to 15 MB/s and frames waited
+    for 1.4 s, while the event loop was at most 31 ms late. Orders to targets timed out,
+    nearly all targets counted as silent, and callers got no answer in time for seconds.
     """
     await _publish_many(fleet)
     before = _sent_bytes(fleet)
@@ -73,42 +72,42 @@
         fleet.store.state.put("servers", f"other-{number}", entry)
     await fleet.until(
         lambda: all(
-            sum(report.leaving for report in row.member.known_targets.values())
+            sum(report.leaving for report in member.member.known_targets.values())
             == REPLACED
-            for row in fleet.followers()
+            for member in fleet.followers()
         )
     )
     sent = _sent_bytes(fleet) - before
     assert sent <= REPLACED * len(fleet.followers()) * CHANGE_BYTES
 
 
-async def test_a_member_that_joins_does_not_fill_the_leaders_link(
+async def test_a_joining_member_does_not_saturate_the_leaders_link(
     fleet: Fleet,
 ) -> None:
-    """A member joins; after a change of leader all of them do within moments.
+    """A member joins; after a change of leader, all members join almost at once.
 
-    For each that joined, the leader sent the list of all members and targets to every
-    follower, although nothing had changed for them but one member.
+    For each of them, the leader sent the whole list of members and targets to every
+    follower, although only one member had changed.
     """
     await _publish_many(fleet)
     before = dict(fleet.leader().member.load.bytes_by_follower)
     await fleet.add_member("front-9")
     wanted = TARGETS + len(fleet.runners)
-    await fleet.until(lambda: all(n == wanted for n in _known_targets(fleet)))
+    await fleet.until(lambda: all(known == wanted for known in _known_targets(fleet)))
     await asyncio.sleep(0.5)
     after = fleet.leader().member.load.bytes_by_follower
-    beats = 8 * 16
+    heartbeat_bytes = 8 * 16
     for name, size in before.items():
-        assert after[name] - size <= CHANGE_BYTES + beats
+        assert after[name] - size <= CHANGE_BYTES + heartbeat_bytes
 
 
 async def test_the_queue_is_counted_once_for_the_heartbeats_of_all_followers(
     fleet: Fleet,
 ) -> None:
-    """Hundreds of followers get a heartbeat each 0.15 s while thousands of jobs wait.
+    """Hundreds of followers get a heartbeat every 0.15 s while thousands of jobs wait.
 
-    Counted anew for each of them, the queue takes the leader's whole processor, and
-    answers wait for it.
+    Counting the queue again for each follower takes the leader's whole processor and
+    delays answers.
     """
     leader = fleet.leader().member.leader
     assert leader is not None
--- a/src/cassiaturn/platform/tests/test_whole_path.py
+++ b/src/cassiaturn/platform/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Members over real sockets: what callers get, also when parts of it fail."""
+"""Members over real sockets: answers to callers, also during failures."""
 
 import asyncio
 from typing import Any
@@ -14,7 +14,9 @@
 
 
 def _starts(fleet: Fleet, job_id: str) -> list[TaskRef]:
-    return [ref for row in fleet.runners for ref in row.starts if ref.job_id == job_id]
+    return [
+        ref for runner in fleet.runners for ref in runner.starts if ref.job_id == job_id
+    ]
 
 
 async def test_every_member_serves_jobs(fleet: Fleet) -> None:
@@ -39,7 +41,7 @@
 async def test_tasks_run_in_the_failure_domain_of_the_member_that_was_asked(
     fleet: Fleet,
 ) -> None:
-    """A cut ended jobs of callers on either side, which had tasks on the other one."""
+    """A network partition ended jobs whose tasks ran on the other side of it."""
     elsewhere = StandinRunner("i-elsewhere", zone="b")
     elsewhere.start()
     fleet.runners.append(elsewhere)
@@ -103,13 +105,14 @@
         {"steps": [{"count": 2, "cpu": 4_000, "longRunning": True}]},
     ],
 )
-async def test_a_job_that_cannot_be_served_yet_is_refused_and_never_runs(
+async def test_an_unsupported_job_is_refused_and_never_runs(
     fleet: Fleet, fields: dict[str, Any]
 ) -> None:
-    """A caller asks for what the program cannot do, and must not hear that it did.
+    """A caller requests a feature that is not supported yet.
 
-    Taken in, a gang's tasks would wait for each other one by one, a scheduled job
-    run at once, and a job to be kept be lost with its leader.
+    If such jobs were accepted, a gang's tasks would start one by one and wait for each
+    other, a scheduled job would run at once, and a job that must be stored would be
+    lost with its leader.
     """
     answer = await fleet.submit(fleet.members[0], JOB, **fields)
     assert answer[0] == 503
@@ -120,43 +123,43 @@
     document = {**_configuration(7), "routes": []}
     fleet.store.state.put("op", "config", document)
     await fleet.until(
-        lambda: all(row.member.routing.version == 7 for row in fleet.members), 2.0
+        lambda: all(member.member.routing.version == 7 for member in fleet.members), 2.0
     )
     for member in fleet.members:
         assert (await fleet.request(member, "GET", PREFIX))[0] == 404
 
 
-async def test_a_configuration_never_goes_back(fleet: Fleet) -> None:
+async def test_an_older_configuration_is_ignored(fleet: Fleet) -> None:
     fleet.store.state.put("op", "config", _configuration(9))
     await fleet.until(
-        lambda: all(row.member.routing.version == 9 for row in fleet.members)
+        lambda: all(member.member.routing.version == 9 for member in fleet.members)
     )
     fleet.store.state.put("op", "config", _configuration(4))
     await asyncio.sleep(0.2)
-    assert {row.member.routing.version for row in fleet.members} == {9}
+    assert {member.member.routing.version for member in fleet.members} == {9}
 
 
-async def test_a_malformed_configuration_leaves_the_last_one(fleet: Fleet) -> None:
+async def test_a_malformed_configuration_is_ignored(fleet: Fleet) -> None:
     fleet.store.state.put("op", "config", '{"version": "none"}')
     await asyncio.sleep(0.2)
-    assert {row.member.routing.version for row in fleet.members} == {3}
+    assert {member.member.routing.version for member in fleet.members} == {3}
     assert (await fleet.submit(fleet.members[0], JOB))[0] == 200
 
 
-async def test_forgotten_history_costs_no_change(fleet: Fleet) -> None:
+async def test_no_change_is_missed_when_the_history_is_lost(fleet: Fleet) -> None:
     """The store drops its history while a change is made.
 
-    A member that only asked for changes would never hear of it.
+    A member that only requests changes would never see it.
     """
     state = fleet.store.state
     state.put("op", "config", _configuration(5))
     state.forget_history()
     await fleet.until(
-        lambda: all(row.member.routing.version == 5 for row in fleet.members)
+        lambda: all(member.member.routing.version == 5 for member in fleet.members)
     )
 
 
-async def test_a_new_target_gets_work_and_a_leaving_one_none(fleet: Fleet) -> None:
+async def test_a_new_target_gets_work_and_a_draining_one_none(fleet: Fleet) -> None:
     extra = StandinRunner("i-new")
     extra.start()
     fleet.runners.append(extra)
@@ -173,13 +176,13 @@
     assert len(extra.starts) == 12
 
 
-async def test_the_leader_is_killed_with_jobs_of_others_under_way(
+async def test_jobs_of_followers_survive_a_killed_leader(
     fleet: Fleet,
 ) -> None:
-    """A follower's caller waits for a job of 0.4 s as the leader is killed.
+    """The leader is killed while a follower's caller waits for a job of 0.4 s.
 
-    The caller must get its answer from the next leader, which finds the runs on
-    the targets: none may be started a second time while the first works.
+    The next leader must find the runs on the targets and answer the caller; no task may
+    be started a second time while its first run continues.
     """
     for runner in fleet.runners:
         runner.run_s = 0.4
@@ -189,21 +192,21 @@
     await fleet.kill(fleet.leader())
     assert (await waiting)[:2] == (200, '{"state":"completed"}')
     assert len(_starts(fleet, JOB)) == 4
-    await fleet.until(lambda: any(row.member.leader for row in fleet.members))
+    await fleet.until(lambda: any(member.member.leader for member in fleet.members))
 
 
 async def test_the_last_member_serves_alone(fleet: Fleet) -> None:
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: any(row.member.leader for row in fleet.members))
+    await fleet.until(lambda: any(member.member.leader for member in fleet.members))
     await fleet.kill(fleet.leader())
     await fleet.until(lambda: fleet.members[0].member.is_ready)
     assert (await fleet.submit(fleet.members[0], JOB))[0] == 200
 
 
-async def test_a_planned_stop_of_the_leader_cuts_nothing(fleet: Fleet) -> None:
-    """The leader gets SIGTERM with jobs of every member under way.
+async def test_a_planned_stop_of_the_leader_interrupts_no_job(fleet: Fleet) -> None:
+    """The leader gets SIGTERM while jobs of every member run.
 
-    It hands over first, and answers its own callers: no caller may notice.
+    It hands over first and still answers its own callers, so that no caller notices.
     """
     for runner in fleet.runners:
         runner.run_s = 0.4
@@ -212,13 +215,13 @@
         asyncio.ensure_future(fleet.submit(member, f"{index:016x}"))
         for index, member in enumerate(fleet.members)
     ]
-    await fleet.until(lambda: sum(len(row.starts) for row in fleet.runners) == 6)
+    await fleet.until(lambda: sum(len(runner.starts) for runner in fleet.runners) == 6)
     await leader.member.stop()
     assert not leader.member.is_ready
     answers = await asyncio.gather(*waiting)
     assert {status for status, _, _ in answers} == {200}
     assert fleet.leader() is not leader
-    assert sum(len(row.starts) for row in fleet.runners) == 6
+    assert sum(len(runner.starts) for runner in fleet.runners) == 6
 
 
 async def test_a_killed_followers_jobs_are_stopped(fleet: Fleet) -> None:
@@ -230,11 +233,11 @@
     await fleet.kill(follower)
     await asyncio.gather(waiting, return_exceptions=True)
     await fleet.until(
-        lambda: not any(row.target.works for row in fleet.runners), timeout_s=1.0
+        lambda: not any(runner.target.works for runner in fleet.runners), timeout_s=1.0
     )
 
 
-async def test_a_caller_that_left_has_its_tasks_stopped(fleet: Fleet) -> None:
+async def test_tasks_of_a_disconnected_caller_are_stopped(fleet: Fleet) -> None:
     for runner in fleet.runners:
         runner.run_s = 1.0
     waiting = asyncio.ensure_future(fleet.submit(fleet.followers()[0], JOB, count=4))
@@ -242,27 +245,27 @@
     waiting.cancel()
     await asyncio.gather(waiting, return_exceptions=True)
     await fleet.until(
-        lambda: not any(row.target.works for row in fleet.runners), timeout_s=0.5
+        lambda: not any(runner.target.works for runner in fleet.runners), timeout_s=0.5
     )
 
 
-async def test_jobs_are_served_while_the_store_is_away(fleet: Fleet) -> None:
+async def test_jobs_are_served_during_a_store_outage(fleet: Fleet) -> None:
     fleet.store.state.fault = Fault.BUSY
     for index in range(6):
         answer = await fleet.submit(fleet.members[index % 3], f"{index:016x}")
         assert answer[0] == 200
 
 
-async def test_the_leader_is_killed_while_the_store_is_away(fleet: Fleet) -> None:
+async def test_a_killed_leader_is_replaced_during_a_store_outage(fleet: Fleet) -> None:
     """The store refuses every call, and the leader's process ends.
 
-    The others know the targets and each other from the leader: they must serve on,
-    and agree on who leads without the store.
+    The others know the targets and each other from the leader. They must keep serving,
+    and agree on a leader without the store.
     """
     fleet.store.state.fault = Fault.BUSY
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: any(row.member.leader for row in fleet.members))
-    await fleet.until(lambda: all(row.member.is_ready for row in fleet.members))
+    await fleet.until(lambda: any(member.member.leader for member in fleet.members))
+    await fleet.until(lambda: all(member.member.is_ready for member in fleet.members))
     for index, member in enumerate(fleet.members):
         assert (await fleet.submit(member, f"{index:016x}"))[0] == 200
     assert len(fleet.followers()) == 1
@@ -271,7 +274,7 @@
 async def test_a_claim_whose_answer_is_lost_still_leads(fleet: Fleet) -> None:
     fleet.store.state.fault = Fault.ANSWER_LOST
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: any(row.member.leader for row in fleet.members))
+    await fleet.until(lambda: any(member.member.leader for member in fleet.members))
     assert (await fleet.submit(fleet.members[0], JOB))[0] == 200
 
 
@@ -283,10 +286,12 @@
     assert (await fleet.submit(member, JOB))[0] == 200
 
 
-async def test_a_silent_target_does_not_hold_a_job_to_its_limit(fleet: Fleet) -> None:
-    """A target stops answering with a task on it; its caller waits 1.5 s.
+async def test_a_silent_target_does_not_delay_a_job_until_its_timeout(
+    fleet: Fleet,
+) -> None:
+    """A target with a task on it stops answering; the caller waits 1.5 s.
 
-    The task starts elsewhere as soon as the lease is certainly over, 1.1 s later.
+    The task must start elsewhere once the lease has certainly expired, after 1.1 s.
     """
     for runner in fleet.runners:
         runner.run_s = 0.1
@@ -296,7 +301,7 @@
         assert answer[0] == 200
 
 
-async def test_a_member_that_starts_without_configuration_says_so() -> None:
+async def test_a_member_without_configuration_refuses_callers() -> None:
     fleet = Fleet()
     fleet.store.start()
     member = await fleet.add_member("front-0")
@@ -306,7 +311,7 @@
     await fleet.close()
 
 
-async def test_the_balancer_is_told_of_a_planned_stop(fleet: Fleet) -> None:
+async def test_the_readiness_probe_fails_after_a_planned_stop(fleet: Fleet) -> None:
     member = fleet.followers()[0]
     assert await fleet.readiness(member) == 200
     await member.member.stop()
@@ -317,38 +322,38 @@
     return {**CONFIGURATION, "version": version}
 
 
-async def test_a_leader_raises_a_token_that_targets_have_outgrown(
+async def test_a_leader_raises_its_token_above_that_of_targets(
     fleet: Fleet,
 ) -> None:
-    """A leader claimed while the store was away, and ended before it could say so.
+    """A leader claimed during a store outage and died before it wrote the row.
 
-    The targets obey its token, the row names an earlier one. The next leader's
-    orders would be refused for ever, and every caller with them.
+    The targets obey its token, but the row has a lower one. Targets would refuse the
+    next leader's orders for ever, and every caller would be refused.
     """
     for runner in fleet.runners:
         runner.token *= 5
     await fleet.until(lambda: fleet.heard_targets() == 0)
     await fleet.until(lambda: fleet.heard_targets() == 4, 12.0)
-    await fleet.until(lambda: all(row.member.is_ready for row in fleet.members))
+    await fleet.until(lambda: all(member.member.is_ready for member in fleet.members))
     for index, member in enumerate(fleet.members):
         assert (await fleet.submit(member, f"{index:016x}"))[0] == 200
 
 
 @pytest.mark.parametrize("obeys_successor", [False, True])
-async def test_a_superseded_leader_stops_what_its_successor_cannot_reach(
+async def test_a_superseded_leader_stops_runs_that_its_successor_cannot_reach(
     fleet: Fleet, obeys_successor: bool
 ) -> None:
-    """A cut heals, and the leader of one side steps down with tasks under way.
+    """A network partition heals, and the leader of one side steps down while tasks run.
 
-    A target that the successor does not reach would keep its run for a lease more,
-    while the caller may have it started elsewhere. What the successor has reached
-    and taken over must go on.
+    A target that the successor does not reach would continue its run for another lease,
+    while the caller may have the task started elsewhere. Runs that the successor has
+    taken over must continue.
     """
     for runner in fleet.runners:
         runner.run_s = 1.2
     waiting = asyncio.ensure_future(fleet.submit(fleet.members[0], JOB, count=1))
     await fleet.until(lambda: len(_starts(fleet, JOB)) == 1)
-    runner = next(row for row in fleet.runners if row.starts)
+    runner = next(runner for runner in fleet.runners if runner.starts)
     leader = fleet.leader().member.leader
     assert leader is not None
     leader.close()
@@ -362,16 +367,16 @@
 
 
 async def test_a_refused_connection_does_not_end_a_run(fleet: Fleet) -> None:
-    """A partition refuses connections to a target while its task works on.
+    """A network partition refuses connections to a target whose task continues.
 
-    Taken for the end of its process, the task would be started elsewhere at once
-    and run twice at the same time.
+    If this counted as the end of the target's process, the task would be started
+    elsewhere at once and run twice at the same time.
     """
     for runner in fleet.runners:
         runner.run_s = 1.4
     waiting = asyncio.ensure_future(fleet.submit(fleet.members[0], JOB, count=1))
     await fleet.until(lambda: len(_starts(fleet, JOB)) == 1)
-    runner = next(row for row in fleet.runners if row.starts)
+    runner = next(runner for runner in fleet.runners if runner.starts)
     await runner.close()
     await asyncio.sleep(0.7)
     assert len(_starts(fleet, JOB)) == 1
@@ -379,26 +384,26 @@
     await asyncio.gather(waiting, return_exceptions=True)
 
 
-async def test_a_planned_stop_of_the_leader_while_the_store_is_away(
+async def test_a_planned_stop_of_the_leader_during_a_store_outage(
     fleet: Fleet,
 ) -> None:
-    """The leader gets SIGTERM in an outage of the store, and hands over.
+    """The leader gets SIGTERM during a store outage, and hands over.
 
-    Its successor can't write the row. If it told nobody, the old leader would go on
-    without a target, and refuse the jobs of everybody who follows it.
+    Its successor cannot write the row. Without an announcement, the old leader would
+    continue without targets and refuse the jobs of all its followers.
     """
     fleet.store.state.fault = Fault.BUSY
     leader = fleet.leader()
     await leader.member.stop()
     await fleet.until(lambda: leader.member.leader is None, timeout_s=2.0)
     await fleet.until(lambda: fleet.heard_targets() == 4, timeout_s=2.0)
-    others = [row for row in fleet.members if row is not leader]
-    await fleet.until(lambda: all(row.member.is_ready for row in others), 2.0)
+    others = [member for member in fleet.members if member is not leader]
+    await fleet.until(lambda: all(member.member.is_ready for member in others), 2.0)
     for index, member in enumerate(fleet.members):
         assert (await fleet.submit(member, f"{index:016x}"))[0] == 200
 
 
-async def test_an_outgrown_token_is_raised_without_the_store(fleet: Fleet) -> None:
+async def test_a_token_is_raised_during_a_store_outage(fleet: Fleet) -> None:
     fleet.store.state.fault = Fault.BUSY
     for runner in fleet.runners:
         runner.token *= 5
--- a/src/cassiaturn/platform/tests/test_foreign_entries.py
+++ b/src/cassiaturn/platform/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the directory that another writer made."""
+"""Directory entries written by others than targets."""
 
 import json
 from typing import Any
@@ -40,7 +40,7 @@
     return decode_target("i-1", json.dumps(entry).encode())
 
 
-def test_a_good_entry_names_a_target() -> None:
+def test_a_valid_entry_is_decoded() -> None:
     assert _read(GOOD) is not None
     assert _read({**GOOD, "state": "draining"}) is not None
     assert _read({**GOOD, "somethingNew": [1]}) is not None
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     "field", ["service", "address", "zone", "state", "capacity", "sequence"]
 )
-def test_an_entry_without_a_field_names_none(field: str) -> None:
+def test_an_entry_with_a_missing_field_is_rejected(field: str) -> None:
     assert _read({key: value for key, value in GOOD.items() if key != field}) is None
 
 
@@ -83,7 +83,7 @@
         {"labels": None},
     ],
 )
-def test_an_entry_with_a_field_of_another_kind_names_none(
+def test_an_entry_with_an_invalid_field_is_rejected(
     change: dict[str, Any],
 ) -> None:
     assert _read({**GOOD, **change}) is None
@@ -91,7 +91,7 @@
 
 @settings(max_examples=300)
 @given(st.sampled_from(sorted(GOOD)), JSON)
-def test_any_value_of_any_field_is_read_or_left_out(field: str, value: Any) -> None:
+def test_any_field_value_is_decoded_or_rejected(field: str, value: Any) -> None:
     report = decode_target("i-1", json.dumps({**GOOD, field: value}).encode())
     if report is not None:
         assert report.service
@@ -100,12 +100,12 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_name_no_target(document: bytes) -> None:
+def test_random_bytes_are_rejected(document: bytes) -> None:
     assert decode_target("i-1", document) is None
 
 
 @pytest.mark.parametrize("depth", [10, 100_000])
-def test_deep_documents_are_malformed(depth: int) -> None:
+def test_deeply_nested_documents_are_rejected(depth: int) -> None:
     document = b"[" * depth + b"]" * depth
     assert decode_target("i-1", document) is None
     assert decode_configuration(document) is None
@@ -114,11 +114,11 @@
 
 @settings(max_examples=300)
 @given(st.sampled_from(["token", "term", "member_id", "address"]), JSON)
-def test_any_leader_row_is_handed_on_or_left_out(field: str, value: Any) -> None:
-    """A row by another writer is read by every member that lost its leader.
+def test_any_leader_row_is_decoded_or_rejected(field: str, value: Any) -> None:
+    """Every member that loses its leader reads a row that another writer made.
 
-    What it names is passed to others as 64-bit numbers and connected to. One that
-    does not fit ends the process of each member that reads it.
+    Its numbers are sent to other members as 64-bit integers, and its address is
+    connected to. A value out of range would end each process that reads it.
     """
     row = {**json.loads(LEADERSHIP.to_value(1)), field: value}
     leadership = Leadership.from_value(json.dumps(row))
@@ -128,13 +128,13 @@
         assert leadership.address.rpartition(":")[2].isdigit()
 
 
-async def test_foreign_entries_change_nothing_for_callers(fleet: Fleet) -> None:
-    """Another writer fills the directory while callers submit jobs.
+async def test_foreign_entries_do_not_affect_callers(fleet: Fleet) -> None:
+    """Another writer adds entries to the directory while callers submit jobs.
 
-    An entry of a service that is not configured, of an unknown state, with fields
-    missing or of another type, or of bytes, stands beside those of four targets.
-    Called as a target, the process at its address would be sent callers' work; and a
-    leader that waits for its list would start nothing.
+    Entries with a service that is not configured, an unknown state, missing or
+    mistyped fields, or random bytes are listed beside those of four targets. Taken for
+    a target, the process at such an address would be sent callers' jobs, and a leader
+    that waits for its list of runs would start nothing.
     """
     stranger = {**fleet.runners[0].entry(), "address": "127.0.0.1:9"}
     foreign: dict[str, object] = {
@@ -147,9 +147,9 @@
     }
     for key, entry in foreign.items():
         fleet.store.state.put("servers", key, entry)
-    # Members of a new leader read the whole list, those of the old one a change.
+    # The new leader reads the whole list, the old one read only changes.
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: all(row.member.is_ready for row in fleet.members))
+    await fleet.until(lambda: all(member.member.is_ready for member in fleet.members))
     await fleet.until(lambda: fleet.heard_targets() == 4)
     leader = fleet.leader().member.leader
     assert leader is not None
@@ -158,14 +158,17 @@
     assert status == 200
 
 
-async def test_a_target_of_a_service_that_comes_later_is_taken_then(
+async def test_a_target_is_used_once_its_service_is_configured(
     fleet: Fleet,
 ) -> None:
-    """A pool is set up before the configuration names it, and taken away again."""
+    """A target is registered before the configuration names its service.
+
+    It gets work as soon as the service is configured, and none after its removal.
+    """
     runner = fleet.runners[0]
     entry = {**runner.entry(), "service": "later"}
     fleet.store.state.put("servers", runner.target.target_id, entry)
-    # The entry of a target that is known moves to a service nobody has named.
+    # A known target moves to a service that is not configured.
     leader = fleet.leader().member.leader
     assert leader is not None
     fleet.store.state.put("servers", "i-9", {**entry, "address": "127.0.0.1:9"})
--- a/src/cassiaturn/platform/tests/test_start.py
+++ b/src/cassiaturn/platform/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What callers get while a member starts, and what it imports before it can serve."""
+"""Answers to callers while a member starts, and its imports before it can serve."""
 
 import asyncio
 import json
@@ -51,10 +51,10 @@
 
 
 @pytest.mark.parametrize("module", NEEDLESS)
-def test_a_member_does_not_wait_for_the_other_deployment(
+def test_a_member_does_not_import_modules_of_the_other_deployment(
     modules: set[str], module: str
 ) -> None:
-    """All hosts lose power; callers get nothing until imports are done.
+    """After a power loss of all hosts, callers get no answer until imports are done.
 
     Modules of the other deployment took a tenth of that time.
     """
@@ -63,7 +63,7 @@
 
 
 LEAST_IMPORT_TIME = timedelta(seconds=0.1)
-"""Less than the imports of a member take on any host, and more if it is busy."""
+"""Lower bound of a member's import time on any host; a busy host takes longer."""
 
 SETTINGS = """\
 kind: fleet
@@ -80,10 +80,10 @@
 async def test_callers_that_connect_while_a_member_starts_are_served(
     tmp_path: Path,
 ) -> None:
-    """A host starts again, and callers connect before its imports are done.
+    """A host restarts, and callers connect before the member's imports are done.
 
-    Refused, they would come back after 1.3 s of the 1.5 s that they wait; here the
-    connection waits and the job is served by the new process.
+    If refused, they would retry after 1.3 s of the 1.5 s that they wait. Their
+    connections must wait instead, and the new process serves the jobs.
     """
     store = StandinStore()
     store.start()
@@ -123,13 +123,13 @@
         await runner.close()
         await store.close()
     assert head.split()[1] == b"200"
-    # The line is written once everything is imported.
+    # The log line is written after all imports.
     imported_at = _time_of(log.decode(), "process_starting")
     assert connected_at < imported_at - LEAST_IMPORT_TIME
 
 
 class _RecordingJobService(MemberJobService):
-    """Completes every job, and keeps how long its caller had waited."""
+    """Completes every job and records how long its caller had waited."""
 
     is_stopping = False
     is_configured = True
@@ -147,13 +147,11 @@
         return Outcome(verdict=Verdict.COMPLETED, reason="all_done")
 
 
-async def test_callers_that_waited_in_the_accept_queue_are_older_than_new_ones() -> (
-    None
-):
-    """After an outage all requests are read at once, and each seems to be new.
+async def test_time_in_the_accept_queue_counts_as_waiting() -> None:
+    """After an outage all queued requests are read at once, and each seems to be new.
 
-    Those whose callers have waited longest then take the places of others that could
-    be in time. A later request of the same connection has not waited.
+    Requests whose callers have waited longest would then displace others that could
+    still be answered in time. A later request of the same connection has not waited.
     """
     address, readiness = free_addresses(2)
     port = socket.create_server((address.host, address.port))
@@ -194,6 +192,6 @@
 
 
 def _time_of(log: str, event: str) -> datetime:
-    """Return when a process wrote the first line of an event."""
+    """Return the time of the first log line of an event."""
     line = next(row for row in log.splitlines() if f"event={event} " in row)
     return datetime.fromisoformat(line.split()[0].removeprefix("time="))
--- a/src/cassiaturn/platform/tests/test_store.py
+++ b/src/cassiaturn/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store through the product's own interfaces, also when it fails."""
+"""The store behind cassiaturn's own interfaces, including failures."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 
 
 class Connected:
-    """A store, and every client of it."""
+    """A fake store with all its clients."""
 
     def __init__(self) -> None:
         self.store = StandinStore()
@@ -49,7 +49,7 @@
     await connected.store.close()
 
 
-async def test_rows_are_written_on_condition(connected: Connected) -> None:
+async def test_conditional_writes(connected: Connected) -> None:
     table = connected.table
     put = Put(key="a", value="1", expected_version=0)
     version = (await table.transact([put])).unwrap().versions_by_key["a"]
@@ -81,7 +81,7 @@
         (Fault.ANSWER_LOST, None, AnswerLost),
     ],
 )
-async def test_what_a_failure_says_of_its_effect(
+async def test_failures_tell_whether_a_call_may_have_taken_effect(
     connected: Connected,
     fault: Fault,
     read_error: type | None,
@@ -94,7 +94,7 @@
     assert isinstance(write.failure(), write_error)
 
 
-async def test_a_store_that_nobody_listens_for_had_no_effect() -> None:
+async def test_a_refused_connection_had_no_effect() -> None:
     client = HttpClient()
     store_client = StoreClient(client=client, address="127.0.0.1:1")
     table = PlatformTable(store=store_client, table="own")
@@ -122,7 +122,7 @@
     assert changes.entries_by_key == {}
 
 
-async def test_forgotten_history_is_told(connected: Connected) -> None:
+async def test_lost_history_is_reported(connected: Connected) -> None:
     for index in range(3):
         connected.state.put("op", "a", str(index))
     connected.state.forget_history()
@@ -130,14 +130,14 @@
     assert isinstance(result.failure(), HistoryLost)
 
 
-async def test_a_row_that_cannot_be_read_hides_no_other(connected: Connected) -> None:
+async def test_a_malformed_row_hides_no_other_row(connected: Connected) -> None:
     connected.state.put("op", "a", "1")
     connected.state.commit([("op", "", "bad", "not base64!")])
     snapshot = (await connected.watched.snapshot()).unwrap()
     assert snapshot.entries_by_key == {"a": "1"}
 
 
-async def test_objects(connected: Connected) -> None:
+async def test_object_store(connected: Connected) -> None:
     objects = connected.objects
     assert isinstance((await objects.get("x")).failure(), Missing)
     assert isinstance(await objects.put("x", b"\x00\xff"), Success)
@@ -165,7 +165,9 @@
     assert await row.claim(_leadership(10)) == _leadership(10)
 
 
-async def test_a_renewed_row_is_told_from_a_stale_one(connected: Connected) -> None:
+async def test_a_renewed_row_is_distinguished_from_a_stale_one(
+    connected: Connected,
+) -> None:
     leader, watcher = (LeaderRow(table=connected.table) for _ in range(2))
     await leader.read()
     await leader.claim(_leadership(10))
@@ -174,10 +176,10 @@
     assert (await watcher.read()).state is RowState.RENEWED
 
 
-async def test_a_later_leader_takes_the_row_over_but_not_an_earlier_one(
+async def test_only_a_later_leader_overwrites_the_row(
     connected: Connected,
 ) -> None:
-    """A leader that claimed without the store writes the row when it is back."""
+    """A leader that claimed during a store outage writes the row afterwards."""
     rows = [LeaderRow(table=connected.table) for _ in range(2)]
     await rows[0].read()
     await rows[0].claim(_leadership(10))
@@ -185,7 +187,7 @@
     assert await rows[0].renew(_leadership(10)) == _leadership(20)
 
 
-async def test_an_unreachable_store_is_told(connected: Connected) -> None:
+async def test_an_unreachable_store_is_reported(connected: Connected) -> None:
     connected.state.fault = Fault.BUSY
     row = LeaderRow(table=connected.table)
     assert (await row.read()).state is RowState.UNREADABLE
--- a/src/cassiaturn/platform/tests/test_wide_links.py
+++ b/src/cassiaturn/platform/tests/test_wide_links.py
@@ -1,4 +1,4 @@
-"""Which member leads where hosts' links differ."""
+"""Choice of the leader when the hosts' links differ in bandwidth."""
 
 import asyncio
 from dataclasses import replace
@@ -23,58 +23,59 @@
     joined = len(fleet.members) - 1
     await fleet.until(
         lambda: all(
-            len(row.member.known_members) == joined for row in fleet.followers()
+            len(member.member.known_members) == joined for member in fleet.followers()
         )
     )
     return wide
 
 
-@pytest.mark.parametrize("turn", range(3))
-async def test_a_leader_that_stops_hands_over_to_a_wide_link(
-    fleet: Fleet, turn: int
+@pytest.mark.parametrize("extra_members", range(3))
+async def test_a_stopping_leader_hands_over_to_a_member_with_a_wide_link(
+    fleet: Fleet, extra_members: int
 ) -> None:
-    """A leader stops as planned; three of four that could follow it have narrow links.
+    """A leader stops as planned; three of four possible successors have narrow links.
 
-    Orders for all callers are more than such a link carries, so that half of them time
-    out until the next change of leader. The one that was heard last was asked to lead.
+    Such a link cannot carry the orders for all callers, so that half of them time out
+    until the next change of leader. The member heard from last was asked to lead.
     """
     (wide,) = await _with_wide_members(fleet, 1)
-    for _ in range(turn):
-        await fleet.add_member(f"narrow-{_}")
+    for number in range(extra_members):
+        await fleet.add_member(f"narrow-{number}")
     await fleet.leader().member.stop()
     assert fleet.leader() is wide
 
 
-@pytest.mark.parametrize("turn", range(3))
-async def test_a_wide_link_leads_after_a_leader_that_was_killed(
-    fleet: Fleet, turn: int
+@pytest.mark.parametrize("extra_members", range(3))
+async def test_a_member_with_a_wide_link_replaces_a_killed_leader(
+    fleet: Fleet, extra_members: int
 ) -> None:
-    """A leader's process ends, and members with narrow and wide links could follow it.
+    """A leader's process ends, and members with narrow and wide links can succeed it.
 
-    They claim in an order that all agree on, by addresses alone so far: whoever has the
-    first one led, whatever its link carries.
+    Members claim in an order that all agree on. When addresses alone gave the order,
+    the member with the first address led, whatever the bandwidth of its link.
     """
-    wide = await _with_wide_members(fleet, 1 + turn)
+    wide = await _with_wide_members(fleet, 1 + extra_members)
     await fleet.kill(fleet.leader())
     await fleet.until(lambda: fleet.heard_targets() == len(fleet.runners))
     assert fleet.leader() in wide
 
 
-async def test_a_wide_link_leads_though_it_answers_its_first_looks_late(
+async def test_a_member_with_a_wide_link_leads_despite_late_first_answers(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A busy member with a wide link misses one look, and a narrow link takes the lead.
+    """A busy member with a wide link answers one request late, and a narrow link leads.
 
-    The leader's process has ended; the wide member answers the first looks after their
-    timeout. Counted as gone, it is passed over until the next change of leader.
+    The leader's process has ended, and the wide member answers the first requests of
+    its peers after their timeout. If it counted as gone, it would be passed over until
+    the next change of leader.
     """
-    answer_look = FleetService.Look
-    late_looks = iter(range(len(fleet.followers())))
+    answer_request = FleetService.Look
+    late_requests = iter(range(len(fleet.followers())))
 
     async def answer_late(service: FleetService, stream: Any) -> None:
-        if next(late_looks, None) is not None:
+        if next(late_requests, None) is not None:
             await asyncio.sleep(LOOK_TIMEOUT_S)
-        await answer_look(service, stream)
+        await answer_request(service, stream)
 
     with monkeypatch.context() as patches:
         patches.setattr(FleetService, "Look", answer_late)
@@ -91,10 +92,10 @@
     assert fleet.leader() is wide
 
 
-async def test_a_leader_whose_link_is_full_asks_a_wide_one_to_lead(
+async def test_a_leader_with_a_saturated_link_hands_over_to_a_wide_one(
     fleet: Fleet,
 ) -> None:
-    """After a power loss of all the first process back led with a narrow link."""
+    """After a power loss of all, the first process back led, with a narrow link."""
     (wide,) = await _with_wide_members(fleet, 1)
     narrow = fleet.leader()
     narrow.member.settings = replace(narrow.member.settings, link_mbps=0.02)
@@ -107,11 +108,11 @@
     assert {answer[0] for answer in await asyncio.gather(*answers)} == {200}
 
 
-async def test_a_leader_that_stopped_is_not_asked_to_lead_again(fleet: Fleet) -> None:
-    """Two leaders are stopped within seconds, the first with the widest link.
+async def test_a_stopped_leader_is_not_asked_to_lead_again(fleet: Fleet) -> None:
+    """Two leaders are stopped within seconds; the first has the widest link.
 
-    The first finishes what its callers wait for, and follows the second meanwhile; it
-    did not say to its new leader that it stops, and was asked to lead as that one did.
+    The first one follows the second while it finishes its callers' jobs. It did not
+    tell the second that it is stopping, and was asked to lead when the second stopped.
     """
     first = fleet.leader()
     first.member.settings = replace(first.settings, link_mbps=WIDE_MBPS)
