--- a/src/cassiaturn/platform/tests/fleet.py
+++ b/src/cassiaturn/platform/tests/fleet.py
@@ -185,7 +185,7 @@
         link_mbps: float = DEFAULT_LINK_MBPS,
         failure_domain: str = "a",
     ) -> RunningMember:
-        seeds = tuple(member.settings.members for member in self.members[:2])
+        seeds = tuple(seed.settings.members for seed in self.members[:2])
         member = RunningMember(
             name,
             store=self.store.address,
--- a/src/cassiaturn/platform/tests/test_end_to_end.py
+++ b/src/cassiaturn/platform/tests/test_end_to_end.py
@@ -215,13 +215,13 @@
         asyncio.ensure_future(fleet.submit(member, f"{index:016x}"))
         for index, member in enumerate(fleet.members)
     ]
-    await fleet.until(lambda: sum(len(runner.starts) for runner in fleet.runners) == 6)
+    await fleet.until(lambda: sum(len(each.starts) for each in fleet.runners) == 6)
     await leader.member.stop()
     assert not leader.member.is_ready
     answers = await asyncio.gather(*waiting)
     assert {status for status, _, _ in answers} == {200}
     assert fleet.leader() is not leader
-    assert sum(len(runner.starts) for runner in fleet.runners) == 6
+    assert sum(len(each.starts) for each in fleet.runners) == 6
 
 
 async def test_a_killed_followers_jobs_are_stopped(fleet: Fleet) -> None:
@@ -353,7 +353,7 @@
         runner.run_s = 1.2
     waiting = asyncio.ensure_future(fleet.submit(fleet.members[0], JOB, count=1))
     await fleet.until(lambda: len(_starts(fleet, JOB)) == 1)
-    runner = next(runner for runner in fleet.runners if runner.starts)
+    runner = next(each for each in fleet.runners if each.starts)
     leader = fleet.leader().member.leader
     assert leader is not None
     leader.close()
@@ -376,7 +376,7 @@
         runner.run_s = 1.4
     waiting = asyncio.ensure_future(fleet.submit(fleet.members[0], JOB, count=1))
     await fleet.until(lambda: len(_starts(fleet, JOB)) == 1)
-    runner = next(runner for runner in fleet.runners if runner.starts)
+    runner = next(each for each in fleet.runners if each.starts)
     await runner.close()
     await asyncio.sleep(0.7)
     assert len(_starts(fleet, JOB)) == 1
@@ -397,8 +397,8 @@
     await leader.member.stop()
     await fleet.until(lambda: leader.member.leader is None, timeout_s=2.0)
     await fleet.until(lambda: fleet.heard_targets() == 4, timeout_s=2.0)
-    others = [member for member in fleet.members if member is not leader]
-    await fleet.until(lambda: all(member.member.is_ready for member in others), 2.0)
+    others = [each for each in fleet.members if each is not leader]
+    await fleet.until(lambda: all(each.member.is_ready for each in others), 2.0)
     for index, member in enumerate(fleet.members):
         assert (await fleet.submit(member, f"{index:016x}"))[0] == 200
 
