--- a/src/cassiaturn/sharing/_job_queue.py
+++ b/src/cassiaturn/sharing/_job_queue.py
@@ -254,7 +254,7 @@
             if band is not None:
                 yield from list(band.jobs)
 
-    def work_ahead_s(self, key: OrderKey) -> float:
+    def work_ahead_millicore_s(self, key: OrderKey) -> float:
         """Return the work ordered before a key, in seconds of a thousandth of a core.
 
         :param key: sort key; work due at the same time is included.
--- a/src/cassiaturn/sharing/tests/test_job_queue.py
+++ b/src/cassiaturn/sharing/tests/test_job_queue.py
@@ -69,7 +69,7 @@
             for row in jobs.values()
             if queue_key(row, now) <= key
         )
-        assert queue.work_ahead_s(key) == pytest.approx(ahead_s, rel=1e-3)
+        assert queue.work_ahead_millicore_s(key) == pytest.approx(ahead_s, rel=1e-3)
 
 
 def test_overdue_job_is_returned_once() -> None:
--- a/src/cassiaturn/workload/_backlog.py
+++ b/src/cassiaturn/workload/_backlog.py
@@ -57,7 +57,7 @@
     if not queue:
         return 0.0
     queue.advance(now)
-    work_ahead = queue.work_ahead_s(queue_key(job, now))
+    work_ahead = queue.work_ahead_millicore_s(queue_key(job, now))
     if work_ahead == 0.0:
         return 0.0
     cpu_millis = usable_cpu(tables, job.route.service, now).cpu_millis
