--- a/src/cassiaturn/sharing/_cpu_headroom.py
+++ b/src/cassiaturn/sharing/_cpu_headroom.py
@@ -1,4 +1,8 @@
-"""Whether a leader's process has processor time left for optional precautions.
+"""Detects whether a leader's process has processor time left for confirming jobs.
+
+Before a confirmed job starts, the member that passed it on records that the job may
+have begun. After a change of leader, a job that never began then need not wait for the
+leases of its runs to expire.
 
 Load pattern: a leader near its processor limit, above all just after it took over, when
 every member joins and the callers that waited through an outage arrive together. One
@@ -13,8 +17,7 @@
 """Lateness of a timer from which the process counts as busy, in seconds."""
 
 MIN_PUNCTUAL_TIMERS = 20
-"""Consecutive timers that must be on time: one second of them."""
-
+"""Consecutive timers that must be on time: one second at 20 timers a second."""
 
 BUSY_SHARE = 0.4
 """Share of a core in use by the process from which it counts as busy."""
--- a/src/cassiaturn/sharing/_deadlines.py
+++ b/src/cassiaturn/sharing/_deadlines.py
@@ -1,12 +1,13 @@
 """Deadlines of a job: when its answer is due, still useful, and no longer awaited.
 
 Load pattern: callers wait for seconds, several times as long as their routes'
-latency objectives, while leaders, targets and power are lost. With one number for all
-three deadlines, either jobs are ended whose callers still wait, or jobs that are of no
-more use take the capacity of others.
+latency objectives, while leaders and targets fail or hosts lose power. With one
+number for all three deadlines, either jobs are ended whose callers still wait, or jobs
+whose answers are no longer useful take the capacity of others.
 
-Grounds: the objective grows with the job's own length and comes from its route. Only
-the caller knows how long it waits. The timeout of a route bounds neither.
+Grounds: the objective comes from the job's route and grows with the job's expected
+length. Only the caller knows how long it waits. The timeout that a route configures
+limits neither of them and ends no job.
 """
 
 from collections.abc import Sequence
--- a/src/cassiaturn/sharing/_due_order.py
+++ b/src/cassiaturn/sharing/_due_order.py
@@ -1,4 +1,4 @@
-"""Order of the jobs that wait for capacity.
+"""Orders the jobs that wait for capacity by lateness, priority and due time.
 
 Load pattern: more work than capacity, in kinds of different urgency, each with a time
 after which its answer is worth less. The extreme case is the second after an outage,
@@ -10,9 +10,9 @@
 its caller's wait. So jobs that can be in time go first, then those that can still be
 useful, and the rest run where nobody else needs the capacity. Within each of these
 classes priority is strict, since operators set it to say who goes first.
-Within one priority, jobs that have started go first, since their other tasks hold
-resources for nothing until the last one is done. Then comes the earliest due time,
-which is optimal while all jobs can be in time.
+Within one priority, jobs that have started go first, since the resources that
+their other tasks hold are of no use until the last one is done. Then comes the earliest
+due time, which is optimal while all jobs can be in time.
 """
 
 from enum import IntEnum
@@ -91,7 +91,10 @@
 def lateness_changes(
     deadlines: Deadlines, expected_run_s: float
 ) -> tuple[float, float]:
-    """Return the latest starts for an answer in time and for a useful one, in seconds.
+    """Return the two times at which a job's lateness class changes, in seconds.
+
+    The first is its latest start for an answer in time, the second its latest start for
+    an answer that is still useful.
 
     :param expected_run_s: expected length of its longest chain of tasks, in seconds.
     """
--- a/src/cassiaturn/sharing/_expected_runs.py
+++ b/src/cassiaturn/sharing/_expected_runs.py
@@ -1,4 +1,4 @@
-"""Expected run times of tasks, from declared and from observed run times.
+"""Estimates the run times of tasks from declared and observed run times.
 
 Load pattern: declared run times are off by half in either direction, on routes whose
 tasks resemble each other. Ordering and admission that trust the declared times refuse
--- a/src/cassiaturn/sharing/_failed_target.py
+++ b/src/cassiaturn/sharing/_failed_target.py
@@ -1,4 +1,4 @@
-"""Pause before a target on which a run failed gets another start.
+"""Computes how long a target on which runs failed gets no further start.
 
 Load pattern: a target that fails every run is free again at once. Without a pause it
 receives the next task too, and a task has only two to four attempts.
--- a/src/cassiaturn/sharing/_feasibility.py
+++ b/src/cassiaturn/sharing/_feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a job can still be answered while its caller waits.
+"""Decides whether a job can still be answered while its caller waits.
 
 Load pattern: task run times vary by a factor of three, some tasks need longer than
 their callers wait, and all capacity is in use. Without this check such a task runs to
@@ -40,9 +40,9 @@
 
 
 MIN_RUN_FRACTION = 0.5
-"""Fraction of its expected run time that a task may actually take. Declared and learnt
-times have an error of 0.4 in the logarithm, so one run in twenty is shorter than this
-fraction."""
+"""Smallest fraction of its expected run time that a task is assumed to take. Declared
+and learnt times have an error of 0.4 in the logarithm, so one run in twenty is shorter
+than this fraction."""
 
 
 def latest_start(*, limit_at: float, expected_run_s: float, is_idle: bool) -> float:
--- a/src/cassiaturn/sharing/_job_queue.py
+++ b/src/cassiaturn/sharing/_job_queue.py
@@ -1,4 +1,4 @@
-"""The jobs of one service that wait for capacity, kept in order.
+"""Keeps the jobs of one service that wait for capacity in start order.
 
 Load pattern: thousands of queued jobs, after an outage or while more jobs arrive than
 there is capacity for. A leader that scans all of them at each event spends its time on
@@ -28,12 +28,12 @@
 
 MICROSECONDS_PER_S = 1_000_000
 
-MAX_PLANNED_PER_JOB = 4
-"""Planned changes per queued job above which those of jobs that are no longer queued
-are dropped; two of them are the job's own."""
+MAX_ENTRIES_PER_JOB = 4
+"""Entries of the heap of lateness changes, per queued job, above which the entries of
+jobs that have left the queue are dropped. A queued job has two entries of its own."""
 
-MIN_PLANNED = 64
-"""Planned changes up to which none are dropped."""
+MIN_ENTRIES_LIMIT = 64
+"""Added to that limit, so that the heap of a short queue is not rebuilt often."""
 
 
 class QueuedJob(Protocol):
@@ -177,7 +177,7 @@
     def take_overdue(self, now: float) -> list[JobT]:
         """Return the jobs that can hardly be answered while their callers wait.
 
-        Each is returned once; it stays queued.
+        Each is returned by one call only, and stays queued.
 
         :param now: current time in seconds.
         """
@@ -208,10 +208,10 @@
         self._row_by_id[job.job_id] = row
         if before is None:
             insort(self._least_cpus, job.least_cpu_millis)
-            self._plan(job, sequence)
+            self._schedule_changes(job, sequence)
 
-    def _plan(self, job: JobT, sequence: int) -> None:
-        """Schedule a job's changes of position and its latest start."""
+    def _schedule_changes(self, job: JobT, sequence: int) -> None:
+        """Add a job to the heaps of lateness changes and latest starts."""
         for change_at in lateness_changes(job.deadlines, job.expected_run_s):
             heapq.heappush(self._changes, (change_at, sequence, job.job_id))
         start_by = latest_start(
@@ -220,19 +220,19 @@
             is_idle=True,
         )
         heapq.heappush(self._latest_starts, (start_by, sequence, job.job_id))
-        max_planned = MAX_PLANNED_PER_JOB * len(self._row_by_id) + MIN_PLANNED
-        if len(self._changes) > max_planned:
+        max_entries = MAX_ENTRIES_PER_JOB * len(self._row_by_id) + MIN_ENTRIES_LIMIT
+        if len(self._changes) > max_entries:
             self._changes = self._without_stale(self._changes)
             self._latest_starts = self._without_stale(self._latest_starts)
 
     def _without_stale(
-        self, planned: list[tuple[float, int, str]]
+        self, entries: list[tuple[float, int, str]]
     ) -> list[tuple[float, int, str]]:
         """Return the entries of jobs that are still queued, as a heap."""
         sequence_by_id = {
             job_id: row.due_key.sequence for job_id, row in self._row_by_id.items()
         }
-        kept = [entry for entry in planned if sequence_by_id.get(entry[2]) == entry[1]]
+        kept = [entry for entry in entries if sequence_by_id.get(entry[2]) == entry[1]]
         heapq.heapify(kept)
         return kept
 
@@ -244,7 +244,7 @@
             self._remove_row(row)
 
     def in_order(self) -> Iterator[JobT]:
-        """Return the jobs, the first to start first.
+        """Iterate over the jobs in start order.
 
         Jobs may be started during the iteration: a started job moves forward, so none
         is returned twice.
@@ -255,18 +255,18 @@
                 yield from list(band.jobs)
 
     def work_ahead_millicore_s(self, key: OrderKey) -> float:
-        """Return the work ordered before a key, in seconds of a thousandth of a core.
+        """Return the work ordered before a key, in millicore-seconds.
 
         :param key: sort key; work due at the same time is included.
         """
-        own = _BandKey(key.lateness, key.priority, key.is_new)
+        own_band_key = _BandKey(key.lateness, key.priority, key.is_new)
         work = sum(
             band.total_work
             for band_key, band in self._band_by_key.items()
-            if band_key < own
+            if band_key < own_band_key
         )
-        if own in self._band_by_key:
-            work += self._band_by_key[own].work_until(key.due_at)
+        if own_band_key in self._band_by_key:
+            work += self._band_by_key[own_band_key].work_until(key.due_at)
         return work / MICROSECONDS_PER_S
 
     def _remove_from_band(self, row: _Row[JobT]) -> None:
@@ -281,5 +281,5 @@
 
 
 def _queued_work(job: QueuedJob) -> int:
-    """Return a job's waiting work, in microseconds of a thousandth of a core."""
+    """Return a job's waiting work, in millicore-microseconds."""
     return round(job.expected_run_s * MICROSECONDS_PER_S) * job.waiting_cpu_millis
--- a/src/cassiaturn/sharing/_link_capacity.py
+++ b/src/cassiaturn/sharing/_link_capacity.py
@@ -1,17 +1,17 @@
-"""When a leader whose host's link is saturated hands the lead to another member.
+"""Decides when a leader on a saturated link transfers leadership to another member.
 
-Load pattern: all hosts lose power, and the first process that is back leads, whatever
-the capacity of its link. Start orders for all callers can exceed a narrow link. Without
-a hand-over they queue for the link, time out and are sent again for as long as that
-member leads.
+Load pattern: all hosts lose power, and the first process that is back becomes the
+leader, whatever the capacity of its link. Start orders for all callers can exceed a
+narrow link. Without a transfer they queue for the link, time out and are sent again for
+as long as that member is the leader.
 
 Grounds: orders come in bursts, so a link on which they are in time seldom carries more
 than half of its capacity. A link at least twice as wide justifies a change of leader.
-No two members can each have twice the width of the other, so the lead does not
+No two members can each have twice the width of the other, so leadership does not
 alternate between them.
 """
 
-FULL_LINK_SHARE = 0.5
+SATURATED_LINK_SHARE = 0.5
 """Share of its capacity in use from which a link counts as saturated."""
 
 MIN_WIDTH_RATIO = 2.0
@@ -22,9 +22,9 @@
     """Return whether a leader should ask another member to lead.
 
     :param own_mbps: capacity of its host's link, in megabits per second.
-    :param used_mbps: traffic that leading sends over it, in megabits per second.
+    :param used_mbps: traffic that it sends as the leader, in megabits per second.
     :param widest_mbps: capacity of the widest link of a member that could lead, in
         megabits per second; 0: there is none.
     """
-    is_full = used_mbps >= FULL_LINK_SHARE * own_mbps
-    return is_full and widest_mbps >= MIN_WIDTH_RATIO * own_mbps
+    is_saturated = used_mbps >= SATURATED_LINK_SHARE * own_mbps
+    return is_saturated and widest_mbps >= MIN_WIDTH_RATIO * own_mbps
--- a/src/cassiaturn/sharing/_packing.py
+++ b/src/cassiaturn/sharing/_packing.py
@@ -1,11 +1,12 @@
-"""Choice of a worker for a task that takes a part of it.
+"""Chooses a target for a task that takes a part of its worker.
 
 Load pattern: tasks that each ask for a third to a half of a worker, on workers of two
 sizes, with nearly all resources in use. Least loaded first leaves fragments on many
 workers at once: two 6.8-core tasks fit into 16 cores and three into 24, and a 9-core
 task finds no worker although 10 cores are free in total.
 
-Grounds: best fit, the worker with the least left over, keeps large free parts together.
+Grounds: best fit, the worker with the least capacity left over, preserves large free
+parts.
 A slow target goes after all healthy ones, however well the task would fit: on a target
 that takes several times as long the whole job is late, whereas leaving resources unused
 costs at most one task's capacity.
@@ -29,8 +30,9 @@
 workers differ by up to 1.6, and declared times are off in both directions."""
 
 REMOTE_DOMAIN_PENALTY = 0.1
-"""Additional share of a worker that may be left over in the failure domain of the
-caller's member, compared with a target in another domain."""
+"""Added to the left-over share of a target outside the failure domain of the caller's
+member: of otherwise equal targets, one there is chosen only if it fits better by more
+than this share."""
 
 
 class GroupKey(NamedTuple):
@@ -40,7 +42,7 @@
     """Id of the job."""
 
     occurrence: int
-    """Number of the repetition."""
+    """Which repetition of a scheduled job; 0 for a job that runs once."""
 
     group: int
     """Position of the group in the job."""
--- a/src/cassiaturn/sharing/_shedding.py
+++ b/src/cassiaturn/sharing/_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: which share of new jobs to refuse while the leader is saturated.
+"""Determines the share of new jobs to refuse while the leader is saturated.
 
 Load pattern: more jobs than one process can start, above all a burst while targets are
 unreachable. If all are accepted, every caller is late: replies are read after their
@@ -17,7 +17,7 @@
 
 import xxhash
 
-FULL_LATENESS_S = 0.06
+SATURATED_LATENESS_S = 0.06
 """Lateness of consecutive timers from which the process counts as saturated, in
 seconds: below the timeout of a start order."""
 
@@ -29,16 +29,16 @@
 """Consecutive timers that must be late: a single one indicates a pause of the process.
 """
 
-MIN_RAISE = 0.1
-"""Smallest fraction of the jobs still accepted that one raise refuses."""
+MIN_SHARE_INCREASE = 0.1
+"""Smallest increase of the share, as a fraction of the jobs still accepted."""
 
-MAX_RAISE = 0.8
-"""Largest fraction of the jobs still accepted that one raise refuses. Between the two
-bounds the fraction equals the lateness in seconds."""
+MAX_SHARE_INCREASE = 0.8
+"""Largest increase of the share, as a fraction of the jobs still accepted. Between the
+two bounds the fraction equals the lateness in seconds."""
 
-MIN_RAISE_INTERVAL_S = 0.2
-"""Minimum time between two raises, in seconds: members learn of a raise within a
-heartbeat."""
+MIN_INCREASE_INTERVAL_S = 0.2
+"""Minimum time between two increases, in seconds: members learn of an increase within
+a heartbeat."""
 
 SHARE_DECREASE = 0.01
 """Decrease of the share for each timer on time: a tenth of all jobs in 0.5 s."""
@@ -59,7 +59,7 @@
         """Share of all new jobs to refuse, 0 to 1."""
 
         self._late_s: deque[float] = deque(maxlen=LATE_TIMERS)
-        self._raised_at = float("-inf")
+        self._increased_at = float("-inf")
 
     def observe(self, late_s: float, now: float, *, behind_s: float = 0.0) -> None:
         """Add the sample of one timer and update the share.
@@ -71,11 +71,11 @@
         """
         late_s = max(late_s, min(behind_s, MAX_BEHIND_S))
         self._late_s.append(late_s)
-        if len(self._late_s) < LATE_TIMERS or min(self._late_s) < FULL_LATENESS_S:
+        if len(self._late_s) < LATE_TIMERS or min(self._late_s) < SATURATED_LATENESS_S:
             self.share = max(0.0, self.share - SHARE_DECREASE)
-        elif now - self._raised_at >= MIN_RAISE_INTERVAL_S:
-            self._raised_at = now
-            fraction = min(MAX_RAISE, max(MIN_RAISE, late_s))
+        elif now - self._increased_at >= MIN_INCREASE_INTERVAL_S:
+            self._increased_at = now
+            fraction = min(MAX_SHARE_INCREASE, max(MIN_SHARE_INCREASE, late_s))
             self.share = min(MAX_SHED_SHARE, self.share + fraction * (1.0 - self.share))
 
 
@@ -84,6 +84,9 @@
 ) -> bool:
     """Return whether a new job is refused.
 
+    The share is taken from the least urgent priorities first, as if each priority had
+    the same number of jobs.
+
     :param job_id: its hash decides which jobs of one priority are refused.
     :param share: share of all new jobs that are refused, 0 to 1.
     :param priority: priority of its route; 0 is the most urgent.
--- a/src/cassiaturn/sharing/_speed_estimate.py
+++ b/src/cassiaturn/sharing/_speed_estimate.py
@@ -16,7 +16,7 @@
 
 LOG_STEP = 0.1
 """Width of a speed step, as a difference of logarithms: smaller differences are within
-the error of the estimate and would only spoil the packing."""
+the error of the estimate and would only worsen the packing."""
 
 MAX_LOG_RATIO = 1.0
 """Bound of the logarithm of one ratio: a stalled run says nothing about speed."""
--- a/src/cassiaturn/sharing/_speed_model.py
+++ b/src/cassiaturn/sharing/_speed_model.py
@@ -1,8 +1,9 @@
 """Estimates the speeds of all targets of a service from the runs of whole jobs.
 
-Load pattern: as for the speed estimate of one target. Declared run times are off by
-half, in the same direction for all tasks of a job. Each run by itself therefore says
-little about its target.
+Load pattern: tasks that need nearly all of the time that their callers wait, on workers
+whose speeds differ by half. Declared run times are off by half as well, in the same
+direction for all tasks of a job, so a single run says little about its target. Without
+the comparison below, a job declared too short makes all its targets look slow.
 
 Grounds: comparing the run times of a job's tasks on different targets cancels the error
 of the declared time. It tells the targets apart after several times fewer runs.
@@ -32,11 +33,12 @@
 """Minimum of either variance."""
 
 MAX_LABELS = 8
-"""Labels of a target that are used. Entries of other writers may have thousands of
+"""Number of a target's labels that are used. A directory entry may have thousands of
 them, and each costs time at each run."""
 
 SHARED_CHANGE = LOG_STEP / 4
-"""Change of a shared effect from which all targets have to be indexed again."""
+"""Change of a shared effect, as a logarithm, above which all targets of the service are
+indexed again."""
 
 
 class SpeedModel:
--- a/src/cassiaturn/sharing/_stuck_job.py
+++ b/src/cassiaturn/sharing/_stuck_job.py
@@ -1,15 +1,16 @@
-"""How long a job that makes no progress is kept before its caller is told to retry.
+"""Limits how long a job without progress is kept before its caller is told to retry.
 
 Load pattern: after a fault some members have no leader, and some leaders reach no
-target. Some of them recover within a second, others stay cut off for many seconds.
-Without a limit the jobs of the latter wait in vain; refused at once, the jobs of the
-former lose a retry delay, and callers with little time left are never served.
-
-Grounds: whether this member or another one will serve the job first is not known. A
-caller that retries loses one retry delay. A job that waits for about as long before its
-caller is told to retry loses at most twice what the better choice would. A caller
-without enough time to retry gains nothing by it, so its job is kept for as long as it
-can be served.
+target. Some of them recover within a second, others stay disconnected for many
+seconds. Without a limit, jobs wait at disconnected members until their callers give up.
+If jobs are refused at once, those at members that recover lose a retry delay, and
+callers with little time left are never served.
+
+Grounds: it is not known in advance whether waiting here or a retry elsewhere serves the
+job sooner. A retry costs one retry delay. If a job waits for about that long before its
+caller is told to retry, it loses at most twice as much as by the better of the two
+choices. A caller without enough time for a retry gains nothing by it, so its job is
+kept for as long as it can be served.
 """
 
 from cassiaturn.sharing._feasibility import latest_start
--- a/src/cassiaturn/sharing/_target_index.py
+++ b/src/cassiaturn/sharing/_target_index.py
@@ -1,4 +1,4 @@
-"""Index of targets that finds the one for a task without examining each of them.
+"""Indexes targets, to find the one for a task without examining each of them.
 
 Load pattern: thousands of starts per second on hundreds of targets. If each target is
 examined for each task, the choice takes most of a leader's processor time, and callers
--- a/src/cassiaturn/sharing/_target_resources.py
+++ b/src/cassiaturn/sharing/_target_resources.py
@@ -1,4 +1,4 @@
-"""Resources of a target, and how much of them tasks use."""
+"""Counts how much of a target's resources tasks use."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class TargetResources:
-    """Resources of a target, as counted exactly by its holder."""
+    """Resources of a target, counted exactly by the process that starts its tasks."""
 
     target_id: str
     """Id of the target."""
--- a/src/cassiaturn/sharing/tests/test_deadlines.py
+++ b/src/cassiaturn/sharing/tests/test_deadlines.py
@@ -83,7 +83,7 @@
 def test_stuck_job_is_kept_if_its_caller_has_no_time_to_retry(
     limit_at: float, has_begun: bool, kept_until: float
 ) -> None:
-    """Guards against refusing callers in a hurry 0.5 s before the next leader."""
+    """Guards against refusing a caller 0.5 s before the next leader could serve it."""
     found = stuck_job_deadline(
         stuck_since=1.0, limit_at=limit_at, expected_run_s=0.2, has_begun=has_begun
     )
--- a/src/cassiaturn/sharing/tests/test_job_timing.py
+++ b/src/cassiaturn/sharing/tests/test_job_timing.py
@@ -31,7 +31,9 @@
         ((0, 9.0, True), (1, 2.0, False)),  # but not before more urgent ones
     ],
 )
-def test_order(first: tuple[int, float, bool], second: tuple[int, float, bool]) -> None:
+def test_jobs_are_ordered_by_lateness_priority_and_due_time(
+    first: tuple[int, float, bool], second: tuple[int, float, bool]
+) -> None:
     keys = [
         order_key(
             priority=priority,
@@ -48,6 +50,7 @@
 
 
 def test_retries_of_refused_callers_are_spread() -> None:
+    """Otherwise callers refused together retry together and are refused again."""
     delays = [spread_retry_after(f"job-{index}", 1.0) for index in range(1_000)]
     assert min(delays) >= 1.0
     assert max(delays) <= 2.0
@@ -57,6 +60,7 @@
 
 @pytest.mark.parametrize("length_s", [0.2, 0.9, 1.49, 3.0])
 def test_progress_never_overstates_the_run_time(length_s: float) -> None:
+    """Guards against ending jobs that would just have been in time."""
     for step in range(1, 60):
         elapsed_s = length_s * step / 60
         percent = int(100 * elapsed_s / length_s)
@@ -64,11 +68,13 @@
         assert progress.least_run_s() <= length_s
 
 
-def test_progress_reveals_a_hopeless_run_at_a_tenth_of_its_work() -> None:
+def test_progress_shows_a_too_long_run_at_a_tenth_of_its_work() -> None:
+    """Otherwise a run too long for its caller holds its resources until the limit."""
     assert Progress(elapsed_s=0.2, percent=10).least_run_s() > 1.5
 
 
 def test_little_progress_gives_no_estimate() -> None:
+    """Otherwise the milliseconds before a run begins its work distort the estimate."""
     assert Progress(elapsed_s=0.2, percent=2).least_run_s() == 0.0
 
 
--- a/src/cassiaturn/sharing/tests/test_packing.py
+++ b/src/cassiaturn/sharing/tests/test_packing.py
@@ -81,6 +81,7 @@
 
 
 def test_slow_and_avoided_targets_are_chosen_last() -> None:
+    """Otherwise jobs are late, or tasks fail again, while another target is free."""
     slow = _target("slow", 16_000, 8_000, slowness=4.0)
     sound = _target("sound", 16_000)
     assert _chosen(_group(), slow, sound) == "sound"
@@ -89,6 +90,7 @@
 
 
 def test_tight_tasks_get_fast_targets_and_others_slow_ones() -> None:
+    """Otherwise short tasks occupy the fast targets, and tight ones end too late."""
     fast, usual = _target("fast", 16_000), _target("usual", 16_000)
     for _ in range(100):
         fast.speed.observe(0.8)
--- a/src/cassiaturn/sharing/tests/test_shedding.py
+++ b/src/cassiaturn/sharing/tests/test_shedding.py
@@ -84,7 +84,10 @@
 
 @pytest.mark.parametrize("late_s", [0.09, 0.4, 3.0])
 def test_suspended_process_refuses_no_job(late_s: float) -> None:
-    """A host may withhold the processor for a tenth of each period, or for seconds."""
+    """Guards against taking pauses of the process by its host for overload.
+
+    A host may withhold the processor for a tenth of each period, or for seconds.
+    """
     shedder = LoadShedder()
     for number in range(20):
         shedder.observe(late_s, now=float(number))
@@ -104,6 +107,7 @@
 def test_least_urgent_jobs_are_refused_first(
     share: float, refused: Sequence[float]
 ) -> None:
+    """Otherwise urgent jobs are refused while less urgent ones are accepted."""
     ids = [f"{number:016x}" for number in range(2_000)]
     for priority, expected in enumerate(refused):
         found = sum(
--- a/src/cassiaturn/sharing/tests/test_slow_leader.py
+++ b/src/cassiaturn/sharing/tests/test_slow_leader.py
@@ -1,4 +1,4 @@
-"""What a leader serves that needs more processor time than it has, in simulation."""
+"""Simulates a leader whose processor limits how many callers it serves in time."""
 
 import random
 from dataclasses import dataclass, field
@@ -175,7 +175,10 @@
 
 
 def _max_share(load: float) -> float:
-    """Return the largest share of jobs that can be started if all of them are read."""
+    """Return the largest share of jobs that can be started if all of them are read.
+
+    :param load: required processor time over the available.
+    """
     time_to_start = max(0.0, 1.0 - load * READ_S / (READ_S + START_S))
     return min(1.0, time_to_start * (READ_S + START_S) / START_S / load)
 
@@ -184,7 +187,7 @@
 def test_overloaded_leader_serves_what_its_processor_allows(
     load: float,
 ) -> None:
-    """Guards against a drop to a thirtieth of the callers slightly past the limit."""
+    """Guards against serving a thirtieth of the callers slightly above capacity."""
     assert _Leader(load=load).run() >= 0.9 * _max_share(load)
 
 
--- a/src/cassiaturn/sharing/tests/test_transit_delay.py
+++ b/src/cassiaturn/sharing/tests/test_transit_delay.py
@@ -34,6 +34,7 @@
 
 
 def test_estimate_restarts_after_idle_sender() -> None:
+    """Guards against comparing with a clock offset from before a long pause."""
     delay = TransitDelay()
     _observe(delay, 0.0, 0.001)
     assert _observe(delay, 60.0, 0.5) == 0.0
