--- a/src/cassiaturn/workload/__init__.py
+++ b/src/cassiaturn/workload/__init__.py
@@ -1,8 +1,10 @@
 """Scheduling state of a leader, and the functions that change it.
 
 Load pattern: jobs of many short tasks, each of which needs part of a worker, at a rate
-at which nearly every worker is in use. Nothing here blocks, reads a clock or opens a
-connection: the process, or a test, passes events in and implements :class:`Ports`.
+at which nearly every worker is in use.
+
+Nothing here blocks, reads a clock or opens a connection: the process, or a test, passes
+events in and implements :class:`Ports`.
 """
 
 from cassiaturn.workload._backlog import backlog_s, usable_targets
--- a/src/cassiaturn/workload/_backlog.py
+++ b/src/cassiaturn/workload/_backlog.py
@@ -57,11 +57,11 @@
     if not queue:
         return 0.0
     queue.advance(now)
-    work_ahead = queue.work_ahead_millicore_s(queue_key(job, now))
-    if work_ahead == 0.0:
+    work_ahead_millicore_s = queue.work_ahead_millicore_s(queue_key(job, now))
+    if work_ahead_millicore_s == 0.0:
         return 0.0
     cpu_millis = usable_cpu(tables, job.route.service, now).cpu_millis
-    return work_ahead / cpu_millis if cpu_millis else 0.0
+    return work_ahead_millicore_s / cpu_millis if cpu_millis else 0.0
 
 
 def usable_cpu(tables: Tables, service: str, now: float) -> UsableCpu:
--- a/src/cassiaturn/workload/_directory.py
+++ b/src/cassiaturn/workload/_directory.py
@@ -70,16 +70,18 @@
     on_target_lost(tables, ports, target_id, reason, now)
     tables.remove_target(target_id)
     if reason != RESTARTED_REASON:
-        # On the other side of a partition another leader may go on starting tasks
-        # there. When the partition heals, a new leader whose remaining targets have all
-        # reported would take their lists for complete and run the other side's jobs a
-        # second time concurrently. From now on inherited jobs wait until the leases
-        # have expired.
+        # Another leader, on the other side of a partition, may go on starting tasks
+        # there. After the partition heals, the lists of this leader's remaining targets
+        # seem complete but lack those runs, so their tasks would run twice at the same
+        # time. From now on inherited jobs wait until the leases have expired.
         tables.knows_targets = False
 
 
 def on_target_unanswered(tables: Tables, target_id: str, now: float) -> None:
-    """Pause starts on a target until its next list can have arrived."""
+    """Pause starts on a target that left a request unanswered.
+
+    The pause lasts until its next list can have arrived.
+    """
     target = tables.targets_by_id.get(target_id)
     if target is not None:
         pause_until = now + tables.settings.unanswered_pause_s
--- a/src/cassiaturn/workload/_dispatch.py
+++ b/src/cassiaturn/workload/_dispatch.py
@@ -98,10 +98,10 @@
     """Return whether a task of a job may still run under an earlier leader."""
     if now >= job.hold_until:
         return False
-    # Once every target obeys this leader, their lists hold all runs that an earlier
-    # leader started. Later in the term this no longer holds: a target that the earlier
-    # leader reached may have left this leader's directory during a partition that has
-    # healed since.
+    # Once every target has reported to this leader, their lists contain all runs that
+    # an earlier leader started. Later in the term they may not: a target that the
+    # earlier leader reached may have left this leader's directory during a partition
+    # that has healed since.
     in_handover = now < tables.began_at + tables.settings.handover_window_s
     return not (tables.knows_targets and in_handover and tables.all_targets_reported)
 
--- a/src/cassiaturn/workload/_ends.py
+++ b/src/cassiaturn/workload/_ends.py
@@ -21,8 +21,8 @@
 )
 
 SLOWNESS_WEIGHT = 0.3
-"""Weight of one run in a target's slowness: three runs distinguish a target that takes
-four times as long from one long task."""
+"""Weight of one run in a target's slowness: after three runs, a target that takes four
+times as long can be told from one that ran a single long task."""
 
 MAX_HEALTHY_SLOWNESS = 1.5
 """Slowness below which a target's runs count towards expected run times and speeds: a
@@ -129,7 +129,7 @@
         target.paused_until = max(target.paused_until, now + pause_s)
 
 
-def _record_target_paces(tables: Tables, ports: Ports, job: Job) -> None:
+def _update_target_speeds(tables: Tables, ports: Ports, job: Job) -> None:
     """Update the speeds of targets from the run times of a complete job."""
     expected = tables.expected
     name = job.route.name
@@ -172,7 +172,7 @@
         tables.requeue(job)
     job.remaining_by_group[task.ref.group] -= 1
     if job.remaining == 0:
-        _record_target_paces(tables, ports, job)
+        _update_target_speeds(tables, ports, job)
         settle(
             tables,
             ports,
--- a/src/cassiaturn/workload/_intake.py
+++ b/src/cassiaturn/workload/_intake.py
@@ -44,13 +44,14 @@
     """Time until its caller stops waiting, in seconds from now."""
 
     begun_earlier: bool = False
-    """Whether an earlier leader had it, so that tasks of it may be running."""
+    """Whether tasks of it may be running that an earlier leader started."""
 
     failure_domain: str = ""
     """Failure domain of that member; empty: not known."""
 
     is_confirmed: bool = True
-    """Whether it may be started at once; otherwise :func:`confirm` allows it later."""
+    """Whether it may be started at once. Otherwise it waits for :func:`confirm`: its
+    member first records that the job may have begun, to tell a later leader."""
 
 
 def submit(
@@ -122,7 +123,7 @@
 
 
 def confirm(tables: Tables, job_id: str) -> bool:
-    """Allow a job to be started.
+    """Allow a job to be started, now that its member recorded that it may have begun.
 
     :returns: whether it was not allowed before.
     """
@@ -256,7 +257,7 @@
     """Return a refusal that tells its caller when to retry.
 
     :param reason: the rule that decided, as logged.
-    :param retry_after_s: when there may be room, in seconds.
+    :param retry_after_s: time until capacity may be free, in seconds.
     """
     return Outcome(
         verdict=Verdict.REFUSED,
--- a/src/cassiaturn/workload/_settings.py
+++ b/src/cassiaturn/workload/_settings.py
@@ -38,8 +38,8 @@
     first_lists_wait_s: float = 0.06
     """How long a new leader waits for the lists of all targets before its first start,
     because a run of a resubmitted job may be on any of them. Lists arrive within 20 ms,
-    and a target that does not answer may not hold callers for longer than the shortest
-    tasks last."""
+    and a target that does not answer must not delay callers for longer than the
+    shortest tasks last."""
 
     directory_wait_s: float = 0.3
     """How long a leader that knows no target yet queues jobs until the directory
@@ -48,15 +48,15 @@
 
     first_list_timeout_s: float = 0.15
     """Time after which a target that has not answered a new leader counts as
-    unreachable. Copies of the request for its first list have been sent for 0.11 s by
-    then, and each is answered in 3 ms. A partition is detected after 0.45 s and a new
+    unreachable. By then the request for its first list has been repeated for 0.11 s,
+    and each copy is answered in 3 ms. A partition is detected after 0.45 s and a new
     leader elected 0.1 s later, so a caller whose job may still run on the other side,
     and who has no time to wait for the leases there, is told within 0.75 s."""
 
     handover_window_s: float = 2.5
     """How long after the start of its term a leader may infer from the lists of its
     targets which runs its predecessor left. Shorter than the time after which a target
-    that is missing from the directory is forgotten."""
+    that is missing from the directory is removed."""
 
     orphan_grace_s: float = 0.35
     """How long after a change of leader a run of an unknown job waits for the caller's
--- a/src/cassiaturn/workload/_settle.py
+++ b/src/cassiaturn/workload/_settle.py
@@ -69,7 +69,8 @@
 ) -> None:
     """Remove a job from the tables and stop its remaining runs.
 
-    :param outcome: the answer to a late resubmission; None: the job runs again.
+    :param outcome: the answer to a late resubmission; None: a resubmitted job runs
+        again.
     """
     tables.remove_job(job)
     next_run = max(task.next_run for task in job.tasks_by_ref.values())
--- a/src/cassiaturn/workload/_tables.py
+++ b/src/cassiaturn/workload/_tables.py
@@ -216,11 +216,12 @@
     """Failure domain of the member that first passed it on; empty: not known."""
 
     is_confirmed: bool = True
-    """Whether it may be started. If it is not confirmed, its caller's member tells a
-    later leader that the job never began."""
+    """Whether it may be started. Until it is confirmed, its caller's member would tell
+    a later leader that the job never began."""
 
     begun: bool = False
-    """Whether a start was ever ordered, so that it must not be reported as not run."""
+    """Whether a start may ever have been ordered. Its caller must then not be told that
+    it did not run."""
 
     @property
     def job_id(self) -> str:
@@ -443,7 +444,7 @@
         queue.put(job)
 
     def requeue(self, job: Job) -> None:
-        """Update a job's place in the queue after its waiting tasks changed."""
+        """Update a job's position in the queue after its waiting tasks changed."""
         if job.job_id in self.jobs_by_id:
             self.queue_by_service[job.route.service].put(job)
 
@@ -455,8 +456,8 @@
     def add_target(self, target: Target) -> None:
         """Add a target and index it."""
         self.targets_by_id[target.target_id] = target
-        book = self.speeds_by_service.setdefault(target.service, SpeedModel())
-        target.speed = book.new_estimate(target.labels)
+        speed_model = self.speeds_by_service.setdefault(target.service, SpeedModel())
+        target.speed = speed_model.new_estimate(target.labels)
         self.index_by_service.setdefault(target.service, TargetIndex()).add(target)
 
     def remove_target(self, target_id: str) -> None:
--- a/src/cassiaturn/workload/_tick.py
+++ b/src/cassiaturn/workload/_tick.py
@@ -21,9 +21,9 @@
 1.7 s at 20 ticks a second, so that a recovered target is tried again."""
 
 MIN_STALL_RATIO = 0.05
-"""A run counts as stalled after no progress for at least this share of its expected
-length: progress is reported in steps of 1%, and a slow target takes several times as
-long for each."""
+"""Minimum time without progress after which a run counts as stalled, as a share of its
+expected length: progress is reported in steps of 1%, and a slow target takes several
+times as long for each."""
 
 
 def tick(tables: Tables, ports: Ports, now: float) -> Lateness | None:
@@ -35,15 +35,15 @@
     _check_jobs(tables, ports, now)
     _check_runs(tables, ports, now)
     _expire_records(tables, now)
-    moved_services = {
+    changed_services = {
         service
-        for service, book in tables.speeds_by_service.items()
-        if book.shared_effects_changed()
+        for service, speed_model in tables.speeds_by_service.items()
+        if speed_model.shared_effects_changed()
     }
     for target in tables.targets_by_id.values():
         was_slow = target.is_slow
         target.slowness = 1.0 + (target.slowness - 1.0) * SLOWNESS_DECAY_PER_TICK
-        if was_slow or target.service in moved_services:
+        if was_slow or target.service in changed_services:
             target.note_change()
     return dispatch(tables, ports, now)
 
@@ -132,7 +132,7 @@
 
 
 def _waits_too_long(tables: Tables, job: Job, now: float) -> bool:
-    """Return whether an inherited job can only start too late."""
+    """Return whether an inherited job must wait until after its latest start."""
     if not job.waiting or now < tables.began_at + tables.settings.first_list_timeout_s:
         return False
     start_by = latest_start(
--- a/src/cassiaturn/workload/_unsupported_features.py
+++ b/src/cassiaturn/workload/_unsupported_features.py
@@ -1,9 +1,9 @@
 """Detects jobs that a leader cannot serve, to refuse them before they start.
 
-Failure that it prevents: a job that is accepted and only partly carried out. Tasks of a
-gang that start one by one wait for each other until they are given up, a scheduled job
-runs at once, and a job that is to be stored is lost with its leader, although its
-caller was told that it was accepted.
+Failure that it prevents: a job that is accepted but not carried out as requested. The
+tasks of a gang, which need each other, start one by one and wait for the rest until
+they are abandoned; a scheduled job runs at once; and a job that is to be stored is lost
+with its leader, although its caller was told that it was accepted.
 """
 
 from cassiaturn.entities import JobRequest, Route
--- a/src/cassiaturn/workload/tests/test_capacity.py
+++ b/src/cassiaturn/workload/tests/test_capacity.py
@@ -57,7 +57,7 @@
 def test_resized_workers_are_never_overcommitted(
     guards: bool,
 ) -> None:
-    """Starts continued on a worker whose capacity had shrunk below its usage."""
+    """Guards against starts on a worker whose capacity has shrunk below its usage."""
     play = _play(guards=guards)
     for step in range(40):
         name = f"t{step % 3}"
--- a/src/cassiaturn/workload/tests/test_job_timing.py
+++ b/src/cassiaturn/workload/tests/test_job_timing.py
@@ -49,7 +49,7 @@
 
 
 def test_timing_separates_lost_runs_from_task_length(play: Play) -> None:
-    """A job whose target stopped responding was logged as too long."""
+    """Guards against logging a job as too long whose target stopped responding."""
     play.submit("a", count=1, run_s=0.9, lengths=[0.9])
     play.run(0.4)
     (run,) = play.tables.runs_by_ref.values()
@@ -63,7 +63,7 @@
 
 
 def test_timing_separates_slow_targets_from_task_length(play: Play) -> None:
-    """A job that ran on a slow target was logged as too long."""
+    """Guards against logging a job as too long that ran on a slow target."""
     for name in play.targets:
         play.tables.targets_by_id[name].paused_until = float("inf")
     play.add_target("slow", speed=0.5)
@@ -79,7 +79,7 @@
 
 
 def test_timing_of_an_abandoned_job_shows_its_full_work(play: Play) -> None:
-    """The largest jobs were counted among the small ones and appeared served."""
+    """Otherwise abandoned large jobs count as small, and large jobs appear served."""
     play.submit("a", count=2, run_s=0.9, lengths=[2.0, 3.6])
     play.run(0.5)
     timing = _timing(play, "a")
--- a/src/cassiaturn/workload/tests/test_jobs.py
+++ b/src/cassiaturn/workload/tests/test_jobs.py
@@ -94,10 +94,11 @@
 def test_list_read_late_does_not_abandon_a_job_in_time(
     play: Play, late_s: float
 ) -> None:
-    """A busy leader reads a list long after it was made; the caller gets a 504.
+    """A busy leader reads a target's list long after it was made.
 
-    Progress was compared with the time at which the list was read: a task of 1.45 s
-    seemed to need 1.8 s, and its job was abandoned although its limit is 1.5 s.
+    If progress is compared with the time at which the list is read, a task of 1.45 s
+    seems to need 1.8 s. Its job is then abandoned, and the caller gets a 504, although
+    the limit is 1.5 s.
     """
     play.submit("a", run_s=0.9, lengths=[1.45])
     play.run(0.2)
@@ -144,8 +145,9 @@
 def test_job_that_cannot_finish_in_time_is_abandoned_early(play: Play) -> None:
     """One of four tasks needs 2 s, but its caller waits only 1.5 s.
 
-    If the job ran to its limit, it would occupy four places for nothing, and its caller
-    would learn at the end what the progress shows after a tenth of the time.
+    If the job ran to its limit, it would use the resources of four tasks to no effect,
+    and its caller would learn at the end what the progress shows after a tenth of the
+    time.
     """
     play.submit("a", count=4, run_s=0.9, lengths=[0.8, 0.9, 2.0, 0.9])
     began_at = play.now
@@ -222,7 +224,7 @@
 def test_late_urgent_job_yields_and_is_still_served(
     play: Play,
 ) -> None:
-    """No place is free until the urgent job's answer is late in any case.
+    """No resources are free until the urgent job's answer is late in any case.
 
     If it started first, it would also make the less urgent job late, so that no caller
     is served in time; if it starts second, one caller is.
--- a/src/cassiaturn/workload/tests/test_leader_change.py
+++ b/src/cassiaturn/workload/tests/test_leader_change.py
@@ -1,4 +1,4 @@
-"""What a new leader does with the runs and jobs of the leader before it."""
+"""Outcomes of jobs and runs that a new leader takes over from an earlier one."""
 
 import pytest
 
@@ -61,8 +61,8 @@
     """The leader is partitioned together with a target that runs a caller's task.
 
     Nobody on this side can tell that the run has ended before its lease expires, and
-    the caller does not wait that long. If kept until its limit, the job would hold its
-    caller and the places of its other tasks for nothing.
+    the caller does not wait that long. If kept until its limit, the job would delay its
+    caller, and its other tasks would use resources to no effect.
     """
     play = _new_leader(is_reachable=False)
     play.submit("a", run_s=0.3, begun_earlier=True, limit_s=0.9)
@@ -127,11 +127,11 @@
 ) -> None:
     """A partition heals 2.2 s after the leader of one side began its term.
 
-    That leader had known all targets and removed those that it could not reach
-    (target_removed in its log 0.6 s and 1.1 s after its start), so all its remaining
-    targets had reported. When the partition healed and the other side's leader stepped
-    down, the inherited job started in the millisecond in which it arrived, although its
-    task had been started on a removed target 58 ms before: two concurrent runs.
+    That leader knew all targets at first and removed those that it could not reach
+    (target_removed in its log, 0.6 s and 1.1 s after its start), so all its remaining
+    targets have reported. The other side's leader steps down. If the inherited job
+    starts as soon as it arrives, although its task was started on a removed target
+    58 ms before, the task runs twice at the same time.
     """
     play = Play(term=1)
     play.tables.knows_targets = True
@@ -149,9 +149,9 @@
 
 
 def test_adopted_run_does_not_affect_expected_run_times() -> None:
-    """After a change of leader jobs were expected to take a fifth of their time.
+    """Guards against expecting a fifth of the run times after a change of leader.
 
-    The time from a run's adoption to its end had counted as its whole length.
+    This happens if the time from a run's adoption to its end counts as its length.
     """
     play = Play(term=1)
     play.add_target("t0")
--- a/src/cassiaturn/workload/tests/test_long_queue.py
+++ b/src/cassiaturn/workload/tests/test_long_queue.py
@@ -40,7 +40,10 @@
 
 @pytest.mark.parametrize("queued", [100, 1_000])
 def test_submission_cost_does_not_grow_with_the_queue(queued: int) -> None:
-    """Each submission scanned the queue, so the leader started less and it grew."""
+    """Guards against a scan of the queue at each submission.
+
+    A leader with a long queue would start fewer jobs, so that the queue grows further.
+    """
     play = _play(queued)
     _CountingRoute.priority_reads = 0
     play.submit("b", count=2, run_s=2.0, route=PATIENT, limit_s=1_000.0)
@@ -49,7 +52,10 @@
 
 @pytest.mark.parametrize("queued", [100, 1_000])
 def test_dispatch_cost_does_not_grow_with_the_queue(queued: int) -> None:
-    """Free room for only one small job made every event sort the queue."""
+    """Guards against sorting the queue at each event.
+
+    This happens if the free resources suffice for one small job that may not start yet.
+    """
     play = _play(queued)
     slow = replace(ROUTE, priority=9, stretch=100.0)
     # This job waits for a run of an earlier leader, and no other job fits the free
@@ -61,7 +67,7 @@
 
 
 def test_urgent_job_starts_before_the_rest_of_a_burst() -> None:
-    """A burst was started as a whole; an urgent job waited until all was sent."""
+    """Guards against starting a burst as a whole before later urgent jobs are read."""
     play = Play()
     for index in range(100):
         play.add_target(f"t{index}")
@@ -88,7 +94,7 @@
 def test_leader_that_reaches_no_target_ends_its_jobs(
     limit_s: float, waited_s: float
 ) -> None:
-    """A partitioned member kept jobs that other members could have served."""
+    """Guards against a partitioned leader keeping jobs that others could serve."""
     play = Play()
     for index in range(4):
         play.add_target(f"t{index}")
@@ -104,7 +110,7 @@
 
 
 def test_job_without_cpu_demand_is_served() -> None:
-    """A job with a CPU demand of 0 was never queued and never answered."""
+    """Guards against never queueing or answering a job with a CPU demand of 0."""
     play = _play(0)
     play.submit("a", cpu=0)
     play.run(0.5)
@@ -112,7 +118,7 @@
 
 
 def test_jobs_too_large_for_any_target_do_not_block_others() -> None:
-    """Jobs larger than any target at the head of the queue blocked all others."""
+    """Guards against jobs larger than any target blocking the head of the queue."""
     play = _play(0)
     for index in range(80):
         play.submit(f"a{index}", cpu=20_000, limit_s=30.0)
@@ -122,7 +128,7 @@
 
 
 def test_paused_targets_do_not_count_as_unreachable() -> None:
-    """A failing job paused all targets, and every caller was refused."""
+    """Guards against refusing every caller once a failing job paused all targets."""
     play = _play(0)
     for row in play.tables.targets_by_id.values():
         row.paused_until = play.now + 1.6
@@ -132,7 +138,10 @@
 
 
 def test_long_run_does_not_count_as_stalled() -> None:
-    """Runs of 60 s show progress every 0.6 s and were stopped after 0.35 s."""
+    """Guards against stopping runs of 60 s, whose progress changes every 0.6 s.
+
+    The minimum stall timeout is 0.35 s.
+    """
     play = _play(0)
     play.submit("a", run_s=60.0, limit_s=200.0)
     play.run(70.0)
@@ -141,7 +150,10 @@
 
 
 def test_joining_request_extends_the_limit_of_a_job() -> None:
-    """A caller came back through another member and got the first request's end."""
+    """Guards against ending a job at the limit of its first request.
+
+    The caller comes back through another member and waits longer.
+    """
     play = _play(8)
     play.submit("b", run_s=0.06, limit_s=1.0)
     play.run(0.5)
--- a/src/cassiaturn/workload/tests/test_target_failures.py
+++ b/src/cassiaturn/workload/tests/test_target_failures.py
@@ -33,8 +33,9 @@
 ) -> None:
     """Many targets are partitioned at once, and the leader stalls for seconds.
 
-    Free resources on silent targets cannot be used. If they count as room, every event
-    makes each queued job search for a place in vain, and all callers wait meanwhile.
+    Free resources on silent targets cannot be used. If they count as usable, each event
+    makes the leader search for a target for each queued job without success, and
+    all callers wait meanwhile.
     """
     play = Play()
     for index in range(6):
@@ -212,7 +213,10 @@
 def test_duplicate_run_is_stopped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A start that seemed lost is carried out beside the run that replaced it."""
+    """A start order is carried out late, beside the run that replaced it.
+
+    If the late run is not stopped, the task runs twice at the same time.
+    """
     play = _play(3)
     play.submit("a", run_s=0.4)
     play.run(0.01)
@@ -262,7 +266,7 @@
 def test_stop_order_is_repeated_until_its_run_has_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The order to stop is lost, and the run would keep its place until its end."""
+    """A stop order is lost; unless repeated, the run holds resources until its end."""
     play = _play(1)
     play.submit("a", run_s=1.4)
     play.run(0.05)
--- a/src/cassiaturn/workload/tests/test_targets_without_admission.py
+++ b/src/cassiaturn/workload/tests/test_targets_without_admission.py
@@ -1,4 +1,4 @@
-"""Targets without admission control must not exceed their worker's capacity."""
+"""Targets without admission control must not exceed their workers' capacity."""
 
 import random
 
