--- a/src/cassiaturn/fleet/_caller_jobs.py
+++ b/src/cassiaturn/fleet/_caller_jobs.py
@@ -1,4 +1,4 @@
-"""Open jobs of this member's own callers, from request to answer."""
+"""Tracks the jobs of this member's own callers, from request to answer."""
 
 import asyncio
 import time
@@ -17,11 +17,11 @@
 from cassiaturn.workload import Outcome, Verdict, unsupported_feature
 
 RECONNECT_WAIT_S = 0.6
-"""Least time that jobs are kept after the leader is lost, in seconds: enough to replace
-a stream that was reset or a leader that hands over."""
+"""Minimum time that jobs are kept after the leader is lost, in seconds: enough to
+replace a stream that was reset or a leader that hands over."""
 
 RETRY_AFTER_S = 1.0
-"""Least retry-after for a caller that is refused here, in seconds: the header holds
+"""Minimum retry-after for a caller that is refused here, in seconds: the header holds
 whole seconds."""
 
 ANSWER_MARGIN_S = 0.15
@@ -192,7 +192,7 @@
         finally:
             job.waiters -= 1
             if not job.waiters and not job.outcome.done():
-                self._drop_unwanted(job)
+                self._drop_without_waiters(job)
 
     def _is_shed(self, request: JobRequest, route: Route) -> bool:
         if route.priority not in self._priorities:
@@ -373,7 +373,7 @@
         if begun_earlier:
             log_event(Event.JOB_RESUBMITTED, id=job.request.job_id)
 
-    def _drop_unwanted(self, job: OpenJob) -> None:
+    def _drop_without_waiters(self, job: OpenJob) -> None:
         self._jobs_by_id.pop(job.request.job_id, None)
         for timer in job.timers:
             timer.cancel()
--- a/src/cassiaturn/fleet/_digests.py
+++ b/src/cassiaturn/fleet/_digests.py
@@ -14,7 +14,8 @@
 
 BUCKETS = 64
 """Number of buckets that are compared. Their digests add half a kilobyte to a hello
-message; with 1,400 targets, one that differs has 22 sent, about two kilobytes."""
+message. With 1,400 targets, one that differs causes the 22 of its bucket to be sent,
+about two kilobytes."""
 
 
 def bucket_of(target_id: str) -> int:
--- a/src/cassiaturn/fleet/_follower.py
+++ b/src/cassiaturn/fleet/_follower.py
@@ -1,4 +1,4 @@
-"""The leader's side of the stream to one follower: what to send to it next."""
+"""Decides what a leader sends next on the stream to one follower."""
 
 import asyncio
 import time
@@ -77,12 +77,12 @@
             self._routing.note_follower_version(version)
         self._wake.set()
 
-    def taken_in(self, job_id: str) -> None:
+    def send_accepted(self, job_id: str) -> None:
         """Tell the follower that a job is queued, and starts once it is confirmed."""
         message = pb.JobConfirmation(job_id=job_id)
         self.enqueue(pb.LeaderFrame(taken_in=message))
 
-    def outcome(self, job_id: str, outcome: Outcome) -> None:
+    def send_outcome(self, job_id: str, outcome: Outcome) -> None:
         """Tell the follower the outcome of a job."""
         self.enqueue(pb.LeaderFrame(outcome=from_outcome(job_id, outcome)))
 
--- a/src/cassiaturn/fleet/_leader.py
+++ b/src/cassiaturn/fleet/_leader.py
@@ -61,10 +61,10 @@
 class FollowerPort(Protocol):
     """Sends the leader's decisions to one follower."""
 
-    def taken_in(self, job_id: str) -> None:
+    def send_accepted(self, job_id: str) -> None:
         """Report that a job was accepted and will start once it is confirmed."""
 
-    def outcome(self, job_id: str, outcome: Outcome) -> None:
+    def send_outcome(self, job_id: str, outcome: Outcome) -> None:
         """Report the outcome of a job."""
 
 
@@ -89,7 +89,7 @@
         """Prepare to lead; :meth:`open` starts it.
 
         :param leadership: the term that this member has claimed.
-        :param desk: the jobs of this member's own callers.
+        :param caller_jobs: the jobs of this member's own callers.
         :param known_targets: the directory by target id, as far as the last leader
             handed it over.
         :param knows_all_targets: whether that leader handed over all of it.
@@ -132,7 +132,7 @@
             on_capacity_change=self._schedule_dispatch,
         )
         self._shedder = LoadShedder()
-        self._spare_time = CpuHeadroom()
+        self._cpu_headroom = CpuHeadroom()
         self._tasks: list[asyncio.Task[None]] = []
         self._is_dispatch_scheduled = False
         self._behind_since = 0.0
@@ -173,7 +173,7 @@
     @property
     def asks_first(self) -> bool:
         """Whether new jobs of followers wait for a confirmation before they start."""
-        return self._spare_time.is_available
+        return self._cpu_headroom.is_available
 
     @property
     def heard_targets(self) -> int:
@@ -272,7 +272,7 @@
             return
         follower = self.followers_by_id.get(submission.origin)
         if follower is not None:
-            follower.taken_in(submission.request.job_id)
+            follower.send_accepted(submission.request.job_id)
 
     def confirm(self, job_id: str) -> None:
         """Allow a member's job to start.
@@ -407,7 +407,7 @@
                 self._resume_at = now + STALL_RECOVERY_S
             self._load.observe_loop_delay(now - due_at)
             cpu_share = (time.process_time() - cpu_before_s) / (now - began_at)
-            self._spare_time.observe(now - due_at, cpu_share)
+            self._cpu_headroom.observe(now - due_at, cpu_share)
             self._shed_load(now - due_at, now)
             self.on_tick()
             self._targets.tick(now)
@@ -464,7 +464,7 @@
             return
         follower = self.followers_by_id.get(member_id)
         if follower is not None:
-            follower.outcome(job_id, outcome)
+            follower.send_outcome(job_id, outcome)
 
     def apply_routing(self, table: RoutingTable) -> None:
         """Use a new configuration for all further decisions."""
--- a/src/cassiaturn/fleet/_leader_load.py
+++ b/src/cassiaturn/fleet/_leader_load.py
@@ -15,8 +15,8 @@
 from cassiaturn.observability import Event, FleetMetrics, log_event
 
 LOG_PERIOD_S = 1.0
-"""Period of the load log line, in seconds: callers notice trouble of a second, and one
-line a second is a 600th of what a process may log."""
+"""Period of the load log line, in seconds: callers notice an overload that lasts a
+second, and one line a second is a 600th of what a process may log."""
 
 BITS_PER_BYTE = 8
 
--- a/src/cassiaturn/fleet/_leader_stream.py
+++ b/src/cassiaturn/fleet/_leader_stream.py
@@ -194,7 +194,7 @@
             try:
                 return await self._serve(stream)
             finally:
-                # A leader whose process stands still may never read the stream's end.
+                # A leader whose process is suspended may never read the stream's end.
                 await stream.cancel()
 
     def _begin(self) -> None:
--- a/src/cassiaturn/fleet/_leader_targets.py
+++ b/src/cassiaturn/fleet/_leader_targets.py
@@ -58,7 +58,7 @@
         self._settings = settings
         self._token = token
         self._on_change = on_change
-        self._on_news = on_capacity_change
+        self._on_capacity_change = on_capacity_change
         self._directory = Directory(reports_by_id=reports_by_id)
         self._links_by_id: dict[str, TargetLink] = {}
         self._answer_loss = AnswerLossMonitor()
@@ -163,7 +163,7 @@
             )
         if changed:
             self._on_change(target_id, report)
-            self._on_news()
+            self._on_capacity_change()
 
     def _is_configured(self, report: TargetReport) -> bool:
         """Return whether jobs can be routed to a target's service.
--- a/src/cassiaturn/fleet/_leadership.py
+++ b/src/cassiaturn/fleet/_leadership.py
@@ -33,7 +33,7 @@
 
 
 MAX_TERM = 2**32
-"""Higher than every term that members reach: one a millisecond for seven weeks. A
+"""Upper bound of terms: claiming one each millisecond would reach it in seven weeks. A
 larger term, written into the row by something else, would leave no room for the token
 of the next claim."""
 
@@ -168,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Look:
-    """Answer of another member to the question whether it hears the leader."""
+    """Answer of another member to a ``Look`` request: its view of a lost leader."""
 
     hears_leader: bool
     """Whether it has heard from the lost leader very recently."""
@@ -216,7 +216,7 @@
     """Number of members that answer and precede this one in the claim order."""
 
     wider_is_silent: bool = False
-    """Whether a member with a faster link than this one's did not answer in time."""
+    """Whether a member with more link bandwidth did not answer in time."""
 
     tries: int = 0
     """Number of earlier rounds of questions since the loss."""
@@ -225,7 +225,7 @@
     """Whether this member got the list of targets from the lost leader."""
 
     leader_answers: bool = False
-    """Whether the lost leader itself says, over a new connection, that it leads."""
+    """Whether the lost leader itself answers, over a new connection, that it leads."""
 
 
 class Step(Enum):
--- a/src/cassiaturn/fleet/_list_pace.py
+++ b/src/cassiaturn/fleet/_list_pace.py
@@ -9,8 +9,9 @@
 """
 
 LIST_SHARE = 0.1
-"""Fraction of the link that lists may use. On hosts with the narrowest links, orders to
-targets use most of it and time out after 0.08 s; they do not notice a tenth less."""
+"""Fraction of the link that lists may use. On hosts with the least bandwidth, orders to
+targets use most of the link and time out after 0.08 s; with a tenth less of it, they
+still arrive in time."""
 
 MEGABIT_BYTES = 125_000.0
 """Bytes in a megabit."""
--- a/src/cassiaturn/fleet/_member.py
+++ b/src/cassiaturn/fleet/_member.py
@@ -58,7 +58,7 @@
 calls to the table service."""
 
 HAND_OVER_PAUSE_S = 5.0
-"""Least pause before another member is asked to lead, in seconds: the member that is
+"""Minimum pause before another member is asked to lead, in seconds: the member that is
 asked drops its stream, and its callers lose their running tasks if it does not lead in
 time."""
 
@@ -76,8 +76,8 @@
     ) -> None:
         """Prepare a member; :meth:`run` makes it lead or follow."""
         self.settings = settings
-        # A restarted process is a new member: it does not know what its predecessor
-        # had agreed to.
+        # A restarted process counts as a new member: it has no state of the process
+        # before it.
         self.member_id = f"{settings.member_name}/{secrets.token_hex(4)}"
         self.routing = CurrentRouting()
         self.metrics = FleetMetrics(
@@ -215,7 +215,7 @@
         loss = Loss.NEVER_KNOWN
         waits = 0
         while True:
-            if self._is_untried(self.known_leadership):
+            if self._is_new_leader(self.known_leadership):
                 loss = await self._follow_known()
                 waits = 0
                 if self._waits_for_earlier_claimants(loss):
@@ -246,7 +246,7 @@
         once.
         """
         is_lost = loss in (Loss.SILENT, Loss.GONE)
-        if not is_lost or self._is_untried(self.known_leadership):
+        if not is_lost or self._is_new_leader(self.known_leadership):
             return False
         return not self._peers.claims_early
 
@@ -259,7 +259,7 @@
             return
         self._leadership_news.clear()
 
-    def _is_untried(self, leadership: Leadership | None) -> bool:
+    def _is_new_leader(self, leadership: Leadership | None) -> bool:
         return (
             leadership is not None
             and leadership.token != self._last_followed_token
--- a/src/cassiaturn/fleet/_peers.py
+++ b/src/cassiaturn/fleet/_peers.py
@@ -25,19 +25,21 @@
 """Addresses of past followers to remember: several times those of a small site."""
 
 EARLIER_ASKED_AT_ONCE = 12
-"""Members asked at once of those that claim before this one: more than a site of a
-hundred members has hosts with high link bandwidth."""
+"""Number of members asked at the same time, of those that precede this one in claim
+order: more than the hosts with high link bandwidth in a site of a hundred members."""
 
 LATER_ASKED = 12
-"""Members asked of those that claim after this one: enough to tell the larger side of a
-network partition, and whether any member still hears the leader."""
+"""Number of members asked, of those that follow this one in claim order: enough to tell
+the larger side of a network partition, and whether any member still hears the
+leader."""
 
 EARLY_CLAIMANTS = 8
-"""Members that ask at once, of the whole fleet, in claim order."""
+"""Number of members, the first in claim order of the whole fleet, that ask their peers
+without waiting for an announcement."""
 
 EARLY_CLAIMANTS_PER_DOMAIN = 2
-"""Members that ask at once in each failure domain: a domain that is partitioned from
-the rest needs a leader, too."""
+"""Number of such members in each failure domain: a domain that is partitioned from the
+rest needs a leader, too."""
 
 
 class ClaimRank(NamedTuple):
@@ -132,11 +134,12 @@
             _ask_all([*before[:EARLIER_ASKED_AT_ONCE], *others], token),
             self._ask_lost_leader(lost),
         )
-        # If the first ones are gone, exactly one of the later members must claim.
+        # If none of the first members answers, ask the next ones: otherwise each later
+        # member would claim as the first.
         asked = EARLIER_ASKED_AT_ONCE
         while asked < len(before) and not self._count_before(looks_by_address):
-            wave = before[asked : asked + EARLIER_ASKED_AT_ONCE]
-            looks_by_address |= await _ask_all(wave, token)
+            batch = before[asked : asked + EARLIER_ASKED_AT_ONCE]
+            looks_by_address |= await _ask_all(batch, token)
             asked += EARLIER_ASKED_AT_ONCE
         answers = [look for look in looks_by_address.values() if isinstance(look, Look)]
         share = len(answers) / max(1, len(looks_by_address))
--- a/src/cassiaturn/fleet/_ports.py
+++ b/src/cassiaturn/fleet/_ports.py
@@ -173,7 +173,7 @@
     """All platform services that a member uses."""
 
     table: TableService
-    """The rows of cassiaturn itself."""
+    """Stores cassiaturn's own rows."""
 
     routing: Watchable[RoutingTable]
     """The configuration that operators publish."""
@@ -182,7 +182,7 @@
     """Parses a configuration that another member passed on."""
 
     directory: Watchable[TargetReport]
-    """The entries that targets publish of themselves."""
+    """The entries that targets publish about themselves."""
 
     targets: TargetCalls
     """Orders to targets."""
--- a/src/cassiaturn/fleet/_roster_feed.py
+++ b/src/cassiaturn/fleet/_roster_feed.py
@@ -24,8 +24,8 @@
 notice the loss of that leader."""
 
 PAGE_ENTRIES = 32
-"""Most entries of a page. A full page takes 3 KB, and delays an answer by 2 ms on a
-link of 12.5 Mbit/s."""
+"""Maximum number of entries of a page. A full page takes 3 KB, and delays an answer by
+2 ms on a link of 12.5 Mbit/s."""
 
 ENTRY_BYTES = 100
 """Estimated size of an entry, for pacing; corrected by the size that was sent."""
@@ -207,9 +207,9 @@
         self._on_change()
 
 
-def _pop_oldest(waiting: dict[str, None], most: int) -> list[str]:
-    """Remove and return the ids that have waited longest, ``most`` at the most."""
-    taken = [key for key, _ in zip(waiting, range(max(0, most)), strict=False)]
+def _pop_oldest(waiting: dict[str, None], limit: int) -> list[str]:
+    """Remove and return the ids that have waited longest, at most ``limit`` of them."""
+    taken = [key for key, _ in zip(waiting, range(max(0, limit)), strict=False)]
     for key in taken:
         del waiting[key]
     return taken
--- a/src/cassiaturn/fleet/_service.py
+++ b/src/cassiaturn/fleet/_service.py
@@ -33,9 +33,10 @@
 when its callers retry after 1.3 s; stopping them takes some 50 ms."""
 
 FOLLOWER_GRACE_S = 0.1
-"""Longest extension of a wait for that silence if the leader's own process stood still,
-in seconds: hosts withhold the processor for a tenth of a second at a time. Three such
-extensions still leave a quarter of a second before callers retry after 1.3 s."""
+"""Longest extension of the wait for that silence after the leader's own process was
+suspended, in seconds: a host may give it no processor time for a tenth of a second.
+Three such extensions still leave a quarter of a second before callers retry after
+1.3 s."""
 
 RECONNECT_GRACE_S = 0.35
 """How long a follower whose stream broke may take to reconnect, in seconds: a reset
@@ -136,7 +137,7 @@
 
     @property
     def widest_link_mbps(self) -> float:
-        """Most link bandwidth of a follower that stays, in Mbit/s; 0 if none stays."""
+        """Highest link bandwidth of followers that stay, in Mbit/s; 0 if none does."""
         return max(
             (
                 follower.hello.link_mbps
--- a/src/cassiaturn/fleet/_target_link.py
+++ b/src/cassiaturn/fleet/_target_link.py
@@ -202,9 +202,9 @@
                     await asyncio.sleep(SILENT_RETRY_PERIOD_S)
                 continue
             wait_s = BUSY_LONG_POLL_S if self._has_runs() else IDLE_LONG_POLL_S
-            asking = self._request_list(wait_s=wait_s, renew=self._has_runs())
+            request = self._request_list(wait_s=wait_s, renew=self._has_runs())
             self._long_poll_sent_at = time.monotonic()
-            self._long_poll = self._spawn(asking)
+            self._long_poll = self._spawn(request)
             await asyncio.wait([self._long_poll])
             self._long_poll = None
 
@@ -364,11 +364,11 @@
 
         :param asked_at: monotonic time of the request that reported it, in seconds.
         """
-        waiting = self._long_poll
-        if waiting is None or not self._answer_loss.is_lossy(asked_at):
+        long_poll = self._long_poll
+        if long_poll is None or not self._answer_loss.is_lossy(asked_at):
             return
         if self._long_poll_sent_at < asked_at:
-            waiting.cancel()
+            long_poll.cancel()
 
     async def _pause_after(self, problem: CallProblem) -> None:
         if not isinstance(problem, NoAnswer):
--- a/src/cassiaturn/fleet/_target_timing.py
+++ b/src/cassiaturn/fleet/_target_timing.py
@@ -16,9 +16,10 @@
 of a second, and progress is seen at a third of the longest usual task."""
 
 TIGHT_RENEW_PERIOD_S = 0.14
-"""Period of lease renewals while runs may miss their deadlines, in seconds: the first
-one shows the progress of a run of 1.5 s to a tenth, so that a run that will be late is
-reported to its caller and its slot freed after a tenth of its time."""
+"""Period of lease renewals while runs may miss their deadlines, in seconds. It is about
+a tenth of a run of 1.5 s, so the first renewal already shows its progress: a run that
+will be late is reported to its caller, and its slot freed, after a tenth of its time.
+"""
 
 SILENT_RETRY_PERIOD_S = 0.3
 """Pause between requests to a target that does not answer, in seconds."""
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -21,8 +21,8 @@
 a network partition most of them are, in seconds: two heartbeats."""
 
 CHECKS_BEFORE_RAISE = 1
-"""Checks without a later leader after which a leader raises its token: a successor
-whose claim is in flight is seen by the second one."""
+"""Number of checks after which a leader whose token targets refuse raises it, if no
+later leader is found: the second check finds a successor whose claim was in flight."""
 
 
 class TermMember(Protocol):
--- a/src/cassiaturn/fleet/tests/test_caller_jobs.py
+++ b/src/cassiaturn/fleet/tests/test_caller_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of a member's own callers across changes of leader."""
+"""Tests the jobs of a member's own callers across changes of leader."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -74,6 +74,7 @@
 
 
 async def test_job_whose_caller_disconnected_is_not_confirmed() -> None:
+    """A confirmed job would be started although no caller waits for it."""
     leader = _RecordingLeader()
     caller_jobs = _caller_jobs_of(leader)
     waiting = await _submit(caller_jobs)
--- a/src/cassiaturn/fleet/tests/test_codec.py
+++ b/src/cassiaturn/fleet/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages between members with values at the bounds of their fields."""
+"""Tests messages between members with values at the bounds of their fields."""
 
 from dataclasses import replace
 
--- a/src/cassiaturn/fleet/tests/test_directory.py
+++ b/src/cassiaturn/fleet/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of targets, with entries that are read late or out of order."""
+"""Tests the directory of targets with entries read late or out of order."""
 
 from dataclasses import replace
 
--- a/src/cassiaturn/fleet/tests/test_peers.py
+++ b/src/cassiaturn/fleet/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Which peers a member asks about its lost leader, in a fleet of a hundred members."""
+"""Tests which peers a member asks about its lost leader, in a fleet of a hundred."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -21,7 +21,7 @@
 
 DOMAINS = ("a", "b", "c", "d", "e", "f")
 
-WIDE = 12
+WIDE_LINK_MEMBERS = 12
 """Number of members with high link bandwidth, two in each failure domain."""
 
 MEMBERS = [
@@ -29,7 +29,7 @@
         member_id=f"m{number}",
         address=f"10.0.0.{number}:1",
         failure_domain=DOMAINS[number % len(DOMAINS)],
-        link_mbps=100.0 if number < WIDE else 12.5,
+        link_mbps=100.0 if number < WIDE_LINK_MEMBERS else 12.5,
     )
     for number in range(96)
 ]
@@ -97,7 +97,7 @@
 ) -> None:
     """A fleet of a hundred members loses its leader, and each member asks all others.
 
-    These are nine thousand calls while the next leader takes over its targets: most
+    That makes nine thousand calls while the next leader takes over its targets: most
     time out, and callers wait half a second longer.
     """
     asked = fake_peers(lambda member: True)
@@ -125,7 +125,7 @@
 
     Competing leaders take the targets from each other, and nobody is served.
     """
-    alive = MEMBERS[2 * WIDE :]
+    alive = MEMBERS[2 * WIDE_LINK_MEMBERS :]
     fake_peers(lambda member: member in alive)
     assert len(await _first_to_claim(alive)) == 1
 
--- a/src/cassiaturn/fleet/tests/test_roster.py
+++ b/src/cassiaturn/fleet/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""A follower's copy of the lists after changes, joins and lost leaders."""
+"""Tests a follower's copy of the lists after changes, joins and lost leaders."""
 
 import random
 from collections.abc import Callable
@@ -64,7 +64,10 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_lists_converge_under_any_order_of_changes_and_pages(seed: int) -> None:
-    """Targets come, change and go while a follower reads pages or changes leader."""
+    """Targets come, change and go while a follower reads pages or changes leader.
+
+    A follower whose copy misses a change would lead with wrong targets later.
+    """
     rng = random.Random(seed)
     feed = _feed(rng.randrange(80))
     roster = Roster()
@@ -119,7 +122,10 @@
 
 
 def test_follower_of_the_last_leader_is_sent_only_what_differs() -> None:
-    """All members join a new leader at once, and know all but two of its targets."""
+    """All members join a new leader at once, and their lists differ in two targets.
+
+    Sending the whole list to each of them would fill the leader's link.
+    """
     old = _feed(250)
     roster = Roster()
     _deliver(_join(old, roster), roster)
@@ -147,7 +153,11 @@
 
 
 def test_known_targets_survive_a_leader_that_sent_nothing() -> None:
-    """A leader accepts a member and falls silent before it sends anything."""
+    """A leader accepts a member and falls silent before it sends anything.
+
+    If the member dropped its targets on joining, it could not lead without the table
+    service.
+    """
     feed, roster = _feed(50), Roster()
     _deliver(_join(feed, roster), roster)
     _join(_feed(0), roster)
@@ -163,7 +173,10 @@
 
 
 def test_change_is_sent_before_the_rest_of_a_long_list() -> None:
-    """A target announces that it leaves while a new member receives its first list."""
+    """A target announces that it leaves while a new member receives its first list.
+
+    If that waited for the rest of the list, a successor could start tasks there.
+    """
     feed, roster = _feed(250), Roster()
     cursor = _join(feed, roster)
     roster.apply(cursor.next_page())
--- a/src/cassiaturn/fleet/tests/test_target_link.py
+++ b/src/cassiaturn/fleet/tests/test_target_link.py
@@ -166,7 +166,10 @@
 
 
 async def test_target_with_another_answer_meanwhile_is_not_silent() -> None:
-    """A list is lost, and an order sent after its request is answered."""
+    """A list is lost, and an order sent after its request is answered.
+
+    The target is working; if it counted as silent, it would get no starts.
+    """
     calls = FakeTargetCalls([False])
     events = RecordedEvents()
     link = _link(calls, events)
