--- a/src/cassiaturn/fleet/_member.py
+++ b/src/cassiaturn/fleet/_member.py
@@ -104,7 +104,7 @@
         self._superseded_signal = SupersededSignal()
         self._term: LeaderTerm | None = None
         self._resigned = asyncio.Event()
-        self._leadership_news = asyncio.Event()
+        self._leadership_announced = asyncio.Event()
         self._stopping = False
         self._stopping_leftovers: asyncio.Future[None] | None = None
         self._last_followed_token = NO_TOKEN
@@ -163,7 +163,7 @@
         if leadership.token <= self._known_token():
             return
         self.known_leadership = leadership
-        self._leadership_news.set()
+        self._leadership_announced.set()
         if self.leader is not None:
             self._superseded_signal.signal()
         elif self._following is not None:
@@ -219,7 +219,7 @@
                 loss = await self._follow_known()
                 waits = 0
                 if self._waits_for_earlier_claimants(loss):
-                    await self._wait_for_news()
+                    await self._wait_for_announcement()
                     waits = 1
                 continue
             step = await self._decide_step(loss, tries=waits)
@@ -233,7 +233,7 @@
                 waits = 0
             elif step is Step.WAIT:
                 log_event(Event.LEADER_UNKNOWN, loss=loss)
-                await self._wait_for_news()
+                await self._wait_for_announcement()
                 waits += 1
                 if loss is not Loss.NEVER_KNOWN and waits % LOOKS_PER_RECONNECT == 0:
                     # A network partition may have healed.
@@ -250,14 +250,14 @@
             return False
         return not self._peers.claims_early
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_announcement(self) -> None:
         # An announcement received while this member asked its peers counts, too.
         try:
             async with asyncio.timeout(LOOK_PAUSE_S):
-                await self._leadership_news.wait()
+                await self._leadership_announced.wait()
         except TimeoutError:
             return
-        self._leadership_news.clear()
+        self._leadership_announced.clear()
 
     def _is_new_leader(self, leadership: Leadership | None) -> bool:
         return (
@@ -333,7 +333,7 @@
             on_leadership=self._note_leadership,
         )
         self._following = stream
-        self._leadership_news.clear()
+        self._leadership_announced.clear()
         self._peers.last_leader_address = leadership.address
         result = await stream.run()
         self._following = None
--- a/src/cassiaturn/platform/tests/test_silent_leader.py
+++ b/src/cassiaturn/platform/tests/test_silent_leader.py
@@ -174,7 +174,7 @@
         next_leadership(None, member_id="front-1/x", address="127.0.0.1:2", reach=1)
     )
     async with asyncio.timeout(5.0):
-        await member._wait_for_news()
+        await member._wait_for_announcement()
 
 
 async def test_the_smaller_side_of_a_partition_keeps_its_term(fleet: Fleet) -> None:
