--- a/src/cassiaturn/fleet/_caller_jobs.py
+++ b/src/cassiaturn/fleet/_caller_jobs.py
@@ -374,6 +374,7 @@
             log_event(Event.JOB_RESUBMITTED, id=job.request.job_id)
 
     def _drop_without_waiters(self, job: OpenJob) -> None:
+        """Cancel a job that none of its callers waits for any more."""
         self._jobs_by_id.pop(job.request.job_id, None)
         for timer in job.timers:
             timer.cancel()
--- a/src/cassiaturn/fleet/_codec.py
+++ b/src/cassiaturn/fleet/_codec.py
@@ -85,7 +85,8 @@
     :param begun_earlier: whether an earlier leader may have started the job.
     :param unconfirmed: whether the leader must not start the job before this member
         confirms it.
-    :param sent_s: time on this member's monotonic clock, in seconds.
+    :param sent_s: time of sending on this member's monotonic clock, in seconds; 0 if
+        not told.
     """
     return pb.JobSubmission(
         job_id=request.job_id,
--- a/src/cassiaturn/fleet/_leader_stream.py
+++ b/src/cassiaturn/fleet/_leader_stream.py
@@ -110,6 +110,8 @@
         """
         self.leadership = leadership
         self.heard_at = 0.0
+        """Monotonic time of the leader's last frame, in seconds."""
+
         self.welcomed = False
         self.leaving = hello.leaving
         self.waits_for_confirmation = False
--- a/src/cassiaturn/fleet/_member.py
+++ b/src/cassiaturn/fleet/_member.py
@@ -251,6 +251,7 @@
         return not self._peers.claims_early
 
     async def _wait_for_announcement(self) -> None:
+        """Wait up to ``LOOK_PAUSE_S`` for another member to announce that it leads."""
         # An announcement received while this member asked its peers counts, too.
         try:
             async with asyncio.timeout(LOOK_PAUSE_S):
@@ -260,6 +261,7 @@
         self._leadership_announced.clear()
 
     def _is_new_leader(self, leadership: Leadership | None) -> bool:
+        """Return whether this is another member's term that was not followed yet."""
         return (
             leadership is not None
             and leadership.token != self._last_followed_token
