--- a/src/cassiaturn/fleet/_leader_stream.py
+++ b/src/cassiaturn/fleet/_leader_stream.py
@@ -110,6 +110,8 @@
         """
         self.leadership = leadership
         self.heard_at = 0.0
+        """Monotonic time of the leader's last frame, in seconds."""
+
         self.welcomed = False
         self.leaving = hello.leaving
         self.waits_for_confirmation = False
@@ -194,7 +196,7 @@
             try:
                 return await self._serve(stream)
             finally:
-                # A leader whose process stands still may never read the stream's end.
+                # A leader whose process is suspended may never read the stream's end.
                 await stream.cancel()
 
     def _begin(self) -> None:
--- a/src/cassiaturn/fleet/_member.py
+++ b/src/cassiaturn/fleet/_member.py
@@ -58,7 +58,7 @@
 calls to the table service."""
 
 HAND_OVER_PAUSE_S = 5.0
-"""Least pause before another member is asked to lead, in seconds: the member that is
+"""Minimum pause before another member is asked to lead, in seconds: the member that is
 asked drops its stream, and its callers lose their running tasks if it does not lead in
 time."""
 
@@ -76,8 +76,8 @@
     ) -> None:
         """Prepare a member; :meth:`run` makes it lead or follow."""
         self.settings = settings
-        # A restarted process is a new member: it does not know what its predecessor
-        # had agreed to.
+        # A restarted process counts as a new member: it has no state of the process
+        # before it.
         self.member_id = f"{settings.member_name}/{secrets.token_hex(4)}"
         self.routing = CurrentRouting()
         self.metrics = FleetMetrics(
@@ -104,7 +104,7 @@
         self._superseded_signal = SupersededSignal()
         self._term: LeaderTerm | None = None
         self._resigned = asyncio.Event()
-        self._leadership_news = asyncio.Event()
+        self._leadership_announced = asyncio.Event()
         self._stopping = False
         self._stopping_leftovers: asyncio.Future[None] | None = None
         self._last_followed_token = NO_TOKEN
@@ -163,7 +163,7 @@
         if leadership.token <= self._known_token():
             return
         self.known_leadership = leadership
-        self._leadership_news.set()
+        self._leadership_announced.set()
         if self.leader is not None:
             self._superseded_signal.signal()
         elif self._following is not None:
@@ -215,11 +215,11 @@
         loss = Loss.NEVER_KNOWN
         waits = 0
         while True:
-            if self._is_untried(self.known_leadership):
+            if self._is_new_leader(self.known_leadership):
                 loss = await self._follow_known()
                 waits = 0
                 if self._waits_for_earlier_claimants(loss):
-                    await self._wait_for_news()
+                    await self._wait_for_announcement()
                     waits = 1
                 continue
             step = await self._decide_step(loss, tries=waits)
@@ -233,7 +233,7 @@
                 waits = 0
             elif step is Step.WAIT:
                 log_event(Event.LEADER_UNKNOWN, loss=loss)
-                await self._wait_for_news()
+                await self._wait_for_announcement()
                 waits += 1
                 if loss is not Loss.NEVER_KNOWN and waits % LOOKS_PER_RECONNECT == 0:
                     # A network partition may have healed.
@@ -246,20 +246,22 @@
         once.
         """
         is_lost = loss in (Loss.SILENT, Loss.GONE)
-        if not is_lost or self._is_untried(self.known_leadership):
+        if not is_lost or self._is_new_leader(self.known_leadership):
             return False
         return not self._peers.claims_early
 
-    async def _wait_for_news(self) -> None:
+    async def _wait_for_announcement(self) -> None:
+        """Wait up to ``LOOK_PAUSE_S`` for another member to announce that it leads."""
         # An announcement received while this member asked its peers counts, too.
         try:
             async with asyncio.timeout(LOOK_PAUSE_S):
-                await self._leadership_news.wait()
+                await self._leadership_announced.wait()
         except TimeoutError:
             return
-        self._leadership_news.clear()
+        self._leadership_announced.clear()
 
-    def _is_untried(self, leadership: Leadership | None) -> bool:
+    def _is_new_leader(self, leadership: Leadership | None) -> bool:
+        """Return whether this is another member's term that was not followed yet."""
         return (
             leadership is not None
             and leadership.token != self._last_followed_token
@@ -333,7 +335,7 @@
             on_leadership=self._note_leadership,
         )
         self._following = stream
-        self._leadership_news.clear()
+        self._leadership_announced.clear()
         self._peers.last_leader_address = leadership.address
         result = await stream.run()
         self._following = None
--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -21,8 +21,8 @@
 a network partition most of them are, in seconds: two heartbeats."""
 
 CHECKS_BEFORE_RAISE = 1
-"""Checks without a later leader after which a leader raises its token: a successor
-whose claim is in flight is seen by the second one."""
+"""Number of checks after which a leader whose token targets refuse raises it, if no
+later leader is found: the second check finds a successor whose claim was in flight."""
 
 
 class TermMember(Protocol):
@@ -104,6 +104,7 @@
             is_later = holder is not None and holder.token > leadership.token
             if holder is not None and is_later and await self._is_reachable(holder):
                 return holder
+            # Targets refuse this leader, but the row names no later one or is unreadable.
             blocked = holder in (leadership, None) and bool(self._leader.superseded_ids)
             checks = checks + 1 if blocked else 0
             if checks > CHECKS_BEFORE_RAISE:
