--- a/src/cassiaturn/membership/_table.py
+++ b/src/cassiaturn/membership/_table.py
@@ -243,7 +243,7 @@
         for row in self._members_by_id.values():
             exclude_pause(row, pause_s)
 
-    def neighbours(self) -> Collection[str]:
+    def heartbeat_peer_ids(self) -> Collection[str]:
         """Return ids of the instances to exchange heartbeats with.
 
         These are the links of :func:`links_of` among members that are not gone, the
--- a/src/cassiaturn/membership/tests/test_table.py
+++ b/src/cassiaturn/membership/tests/test_table.py
@@ -55,7 +55,7 @@
 
 
 def send_to_neighbours(table: MembershipTable) -> None:
-    for instance_id in list(table.neighbours()):
+    for instance_id in list(table.heartbeat_peer_ids()):
         table.sent(instance_id, 0.0)
 
 
@@ -136,8 +136,10 @@
     for number in range(1, 9):
         table.observe(make_facts(f"a{number}"), 0.5)
     send_to_neighbours(table)
-    far = next(f"a{n}" for n in range(1, 9) if f"a{n}" not in table.neighbours())
-    near = set(table.neighbours())
+    far = next(
+        f"a{n}" for n in range(1, 9) if f"a{n}" not in table.heartbeat_peer_ids()
+    )
+    near = set(table.heartbeat_peer_ids())
     for second in range(1, 3600):
         for one in near:
             table.heard(make_facts(one).incarnation, float(second))
@@ -145,7 +147,7 @@
     table.disconnected(make_facts(far).incarnation, 3599.5)
 
     assert states(table.tick(3600.0)) == [(far, MemberState.SUSPECTED)]
-    assert far in table.neighbours()
+    assert far in table.heartbeat_peer_ids()
     assert table.heartbeat_due(far, 3600.0)
     table.heard(make_facts(far).incarnation, 3600.1)
     assert states(table.tick(3600.2)) == [(far, MemberState.READY)]
@@ -228,7 +230,7 @@
 def test_unheard_host_is_forgotten_when_no_longer_listed() -> None:
     table = make_table()
     table.hint([HostHint(instance_id="a2", failure_domain="a")])
-    assert "a2" in table.neighbours()
+    assert "a2" in table.heartbeat_peer_ids()
     assert states(run_ticks(table, 0.0, 4.2))[-1] == ("a2", MemberState.GONE)
 
     table.hint([])
@@ -244,15 +246,17 @@
     table = make_table("a0")
     for number in range(1, 9):
         table.observe(make_facts(f"a{number}"), 0.0)
-    far = next(f"a{n}" for n in range(1, 9) if f"a{n}" not in table.neighbours())
-    near = min(table.neighbours())
+    far = next(
+        f"a{n}" for n in range(1, 9) if f"a{n}" not in table.heartbeat_peer_ids()
+    )
+    near = min(table.heartbeat_peer_ids())
     suspicion = make_facts(near, suspected=(make_facts(far).incarnation,))
     table.observe(suspicion, 2.0)
 
-    assert far in table.neighbours()
+    assert far in table.heartbeat_peer_ids()
     assert table.heartbeat_due(far, 2.0)
     table.heard(make_facts(far).incarnation, 2.1)
-    assert far not in table.neighbours()
+    assert far not in table.heartbeat_peer_ids()
 
     table.observe(suspicion, 4.0)
     changes = run_ticks(table, 4.0, 8.1)
@@ -282,7 +286,7 @@
     for number in range(1, 9):
         table.observe(make_facts(f"a{number}"), 0.0)
     send_to_neighbours(table)
-    near = set(table.neighbours())
+    near = set(table.heartbeat_peer_ids())
     lost = min(near)
     now = 0.0
     for second in range(20):
@@ -291,10 +295,10 @@
             table.heard(make_facts(one).incarnation, now)
         changes = table.tick(now)
         assert all(change.instance_id == lost for change in changes) or second == 0
-        if set(table.neighbours()) - near:
+        if set(table.heartbeat_peer_ids()) - near:
             break
 
-    assert set(table.neighbours()) - near
+    assert set(table.heartbeat_peer_ids()) - near
     assert states(table.tick(now)) == []
 
 
--- a/src/cassiaturn/model/_fleet.py
+++ b/src/cassiaturn/model/_fleet.py
@@ -71,7 +71,11 @@
             state=facts.state,
             suspected=table.suspicions(),
         )
-        due = [one for one in table.neighbours() if table.heartbeat_due(one, self.now)]
+        due = [
+            one
+            for one in table.heartbeat_peer_ids()
+            if table.heartbeat_due(one, self.now)
+        ]
         for receiver_id in due:
             self.sent += 1
             table.sent(receiver_id, self.now)
--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -167,7 +167,7 @@
             self._on_change(changes)
         self._dial(now)
         self._send_notices(now)
-        neighbours = self._membership.neighbours()
+        neighbours = self._membership.heartbeat_peer_ids()
         for link in self.links_by_incarnation.values():
             # A link to another instance carries work and the load that rides on
             # it; heartbeats alone go to neighbours, so their number is bounded.
@@ -242,12 +242,12 @@
         known = self._addresses_by_instance.keys()
         if len(known) < self._full_links:
             return known
-        return known & set(self._membership.neighbours())
+        return known & set(self._membership.heartbeat_peer_ids())
 
     def hears(self, incarnation: str) -> bool:
         """Whether this instance exchanges heartbeats with an incarnation."""
         instance_id = instance_of(incarnation) or ""
-        return instance_id in self._membership.neighbours()
+        return instance_id in self._membership.heartbeat_peer_ids()
 
     def monitors_of(self, incarnation: str) -> Sequence[str]:
         """Return the instances that hear the heartbeats of another, but for us.
