--- a/src/cassiaturn/submission/__init__.py
+++ b/src/cassiaturn/submission/__init__.py
@@ -1,8 +1,9 @@
 """Idempotent submission: tickets, claims of ids, and submission records.
 
-Every submission has one home: the incarnation of an instance that alone may start
-its tasks. A ticket is a submission id that names its home. An id that a caller
-chose gets its home by a claim, a row in the platform's table service.
+An incarnation is one run of an instance process. Every submission has one home: the
+incarnation that alone may start its tasks. A ticket is a submission id that an
+instance issued and that names this home. An id that a caller chose gets its home by a
+claim, a row in the platform's table service.
 """
 
 from cassiaturn.submission._budget import StoreBudget, StoreState
--- a/src/cassiaturn/submission/_budget.py
+++ b/src/cassiaturn/submission/_budget.py
@@ -1,9 +1,10 @@
 """Limits one instance's use of the store: rates, backoff and a circuit breaker.
 
-Load pattern: the store serves several hundred writes a second for all its clients
-and has outages, whose end every instance notices at the same moment. Without a
-client-side limit, the instances that return together keep the store overloaded;
-without the circuit breaker, each claim waits for a timeout during a long outage.
+Load pattern: the store (the platform's table service) serves several hundred
+writes a second for all its clients and has outages, whose end every instance notices
+at the same moment. Without a client-side limit, the instances that return together
+keep the store overloaded; without the circuit breaker, each claim waits for a timeout
+during a long outage.
 
 Grounds: a token bucket per instance bounds the sum over all instances whatever
 their number of jobs; full jitter spreads returning clients over the whole backoff
@@ -83,7 +84,7 @@
         return self._failures >= self._settings.open_after_failures
 
     def write_wait_s(self, writes: int) -> float:
-        """Return how long a number of writes takes at the sustained rate.
+        """Return the time that a number of writes takes at the sustained rate.
 
         :param writes: number of writes, made one after the other.
         :returns: duration in seconds.
@@ -139,8 +140,8 @@
         return True
 
     def _is_probing(self, now: float) -> bool:
-        # A probe whose caller was cancelled never reports its end. It is given up
-        # after the longest backoff; otherwise it would block the store for good.
+        # A probe whose caller was cancelled never reports its end. It is ignored after
+        # the longest backoff; otherwise no operation would ever be sent again.
         if self._state is not StoreState.HALF_OPEN:
             return False
         return now - self._probed_at < self._settings.backoff_max_s
--- a/src/cassiaturn/submission/_claim_rows.py
+++ b/src/cassiaturn/submission/_claim_rows.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimGranted:
-    """The attempt claimed the id, which was never opened.
+    """The claim row is of this attempt, so the id was never opened before.
 
     Open the submission at once, before any ``await``.
     """
@@ -68,8 +68,8 @@
     """The id."""
 
     home: str
-    """Incarnation to forward to; this one if it claimed the id before and its record
-    was forgotten."""
+    """Incarnation to forward to. It is this one if it claimed the id earlier and has
+    since removed the record."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -91,10 +91,10 @@
     """The answer to the insert."""
 
     REREAD_DUE = "reread_due"
-    """Permission to read its rows again, since the answer to the insert was lost."""
+    """The store budget allowing a read of its rows, since the answer was lost."""
 
     REREADING = "rereading"
-    """The rows that are read again."""
+    """The answer to that read."""
 
 
 RowsById = Mapping[str, ClaimRow]
--- a/src/cassiaturn/submission/_claims.py
+++ b/src/cassiaturn/submission/_claims.py
@@ -163,7 +163,7 @@
         """Resolve a batch whose answer was lost, by the rows that exist now.
 
         Ids without a row are written again with the same token: the first write may
-        still take effect, and the token then shows that the row is of this attempt.
+        still take effect, and its row is then recognised by the token.
 
         :param rows_by_id: the rows that exist.
         :raises InvariantError: the batch is not in flight.
@@ -219,8 +219,8 @@
         submission_id = written.submission_id
         if submission_id not in self._requested_at_by_id:
             return
-        # The row may be an earlier claim of this incarnation whose record is
-        # forgotten; only the token of this attempt proves that it was never opened.
+        # The row may be from an earlier claim of this incarnation whose record was
+        # removed. Only the token of this attempt proves that the id was never opened.
         if found.token == written.token:
             del self._tokens_by_id[submission_id]
             self._resolve(ClaimGranted(submission_id=submission_id))
--- a/src/cassiaturn/submission/_record.py
+++ b/src/cassiaturn/submission/_record.py
@@ -1,6 +1,6 @@
 """Submission records, and the outcomes of opening a submission.
 
-A home keeps one record of each submission that it was given.
+A home keeps one record of each submission that it decides about.
 """
 
 from collections.abc import Sequence
@@ -46,7 +46,8 @@
     """Time of the final answer on the home's monotonic clock, in seconds."""
 
     possible_starts: int = 0
-    """Starts sent that no target has refused; above 0, a task may have run."""
+    """Number of starts sent and not refused by a target; above 0, a task may have
+    run."""
 
     result_bytes: int = 0
     """Size of its results kept in memory, in bytes."""
--- a/src/cassiaturn/submission/_retained.py
+++ b/src/cassiaturn/submission/_retained.py
@@ -51,8 +51,8 @@
         self._total_bytes -= record.result_bytes
         record.result_bytes = 0
 
-    def offer_again(self, record: SubmissionRecord) -> None:
-        """Queue results again that could not be written to the object store."""
+    def requeue(self, record: SubmissionRecord) -> None:
+        """Queue results again whose write to the object store failed."""
         if not record.offload_asked:
             return
         record.offload_asked = False
--- a/src/cassiaturn/submission/_table.py
+++ b/src/cassiaturn/submission/_table.py
@@ -61,8 +61,10 @@
         self._settled_by_id: dict[str, SubmissionRecord] = {}
         self._retained = RetainedResults(incarnation=incarnation, settings=settings)
         self._adopted_ids: set[str] = set()
-        self._forgotten_until_ms = -1
-        self._refused_until_ms = -1
+        # Latest issue times of tickets whose records were evicted, for all answers
+        # but "not run" and for "not run".
+        self._evicted_until_ms = -1
+        self._evicted_not_run_until_ms = -1
 
     @property
     def records_by_id(self) -> Mapping[str, SubmissionRecord]:
@@ -133,7 +135,7 @@
 
         :returns: whether the start may be sent. False once the answer is final, so
             that a submission which was refused or cancelled starts nothing later. If
-            True, the start counts as possible until :meth:`refused` withdraws it.
+            True, the task counts as possibly run until :meth:`refused` is called.
         """
         record = self._records_by_id.get(submission_id)
         if record is None or record.is_settled:
@@ -219,7 +221,7 @@
         """Report that the results could not be written to the object store."""
         record = self._records_by_id.get(submission_id)
         if record is not None:
-            self._retained.offer_again(record)
+            self._retained.requeue(record)
 
     def forgotten_answer(self, submission_id: str) -> Answer:
         """Return the answer for an id of this home whose record was removed.
@@ -235,7 +237,7 @@
     def _may_adopt(self, submission_id: str) -> bool:
         # Each submission is adopted at most once by an incarnation. Targets are asked
         # only for the runs of the ended home, so a second adoption, after the record
-        # was removed, would repeat what this incarnation itself ran.
+        # was removed, would repeat the tasks that this incarnation ran itself.
         if submission_id in self._adopted_ids:
             return False
         if len(self._adopted_ids) >= self._settings.max_adopted:
@@ -259,14 +261,14 @@
     def _expired_answer(self, ticket: Ticket, now: float) -> Answer | None:
         age_s = now - self._booted_at - ticket.issued_ms / _MS_PER_S
         is_in_time = 0 <= age_s <= self._settings.ticket_valid_s
-        may_be_forgotten = ticket.issued_ms <= self._forgotten_until_ms
-        may_be_refused = ticket.issued_ms <= self._refused_until_ms
-        if is_in_time and not may_be_forgotten and not may_be_refused:
+        may_be_evicted = ticket.issued_ms <= self._evicted_until_ms
+        may_be_evicted_not_run = ticket.issued_ms <= self._evicted_not_run_until_ms
+        if is_in_time and not may_be_evicted and not may_be_evicted_not_run:
             return None
         # The record of a ticket that was opened in time is kept at least until
         # retention_s after the issue, unless it is evicted. Without a record before
         # then, the ticket was never opened and cannot be opened any more.
-        if not may_be_forgotten and age_s < self._settings.retention_s:
+        if not may_be_evicted and age_s < self._settings.retention_s:
             return self._refusal(ticket.submission_id, Reason.EXPIRED, retry_ms=0)
         return self.forgotten_answer(ticket.submission_id)
 
@@ -307,8 +309,9 @@
         """Evict the oldest settled records until a new one fits.
 
         Tickets issued no later than an evicted one can no longer open a submission;
-        otherwise its resubmission would start the same tasks again. One issue time
-        for each kind of answer is enough, since a home issues tickets in order.
+        otherwise its resubmission would start the same tasks again. The latest evicted
+        issue time is enough to know, since a home issues tickets in order; there is
+        one for "not run" and one for other answers.
         """
         while len(self._records_by_id) >= self._settings.max_records:
             record = next(iter(self._settled_by_id.values()), None)
@@ -321,9 +324,11 @@
         if record.issued_ms is None or record.answer is None:
             return
         if record.answer.outcome is Outcome.NOT_RUN:
-            self._refused_until_ms = max(self._refused_until_ms, record.issued_ms)
+            self._evicted_not_run_until_ms = max(
+                self._evicted_not_run_until_ms, record.issued_ms
+            )
         else:
-            self._forgotten_until_ms = max(self._forgotten_until_ms, record.issued_ms)
+            self._evicted_until_ms = max(self._evicted_until_ms, record.issued_ms)
 
     def _forget(self, record: SubmissionRecord) -> None:
         del self._records_by_id[record.submission_id]
--- a/src/cassiaturn/submission/_ticket.py
+++ b/src/cassiaturn/submission/_ticket.py
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ticket:
-    """The fields of a ticket; they lead to the home of a submission."""
+    """The fields of a ticket."""
 
     submission_id: str
-    """The ticket's text, which is the submission id."""
+    """The ticket as text; it is the id of its submission."""
 
     home: str
     """Incarnation that issued it, the only one that may start its tasks."""
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MalformedTicket:
-    """A text with the prefix of a ticket that is none; its submission is invalid."""
+    """A submission id that has the prefix of a ticket but is not a valid one."""
 
     submission_id: str
     """The text."""
@@ -93,8 +93,8 @@
     """Parse a submission id as a ticket.
 
     :param submission_id: any text that a caller sent.
-    :returns: the ticket; a :class:`MalformedTicket` if only the prefix is one of a
-        ticket; None for an id that the caller chose.
+    :returns: the ticket; a :class:`MalformedTicket` if it has the prefix of tickets
+        but is none; None for an id that the caller chose.
     """
     if not submission_id.startswith(TICKET_PREFIX):
         return None
--- a/src/cassiaturn/submission/tests/test_claims.py
+++ b/src/cassiaturn/submission/tests/test_claims.py
@@ -106,6 +106,7 @@
 
 
 def test_taken_id_does_not_delay_other_claims() -> None:
+    """One taken id makes the store reject the batch; the other claims are retried."""
     store = Store()
     taken_row = ClaimRow(submission_id="b", home=OTHER_HOME, token="x")
     store.rows_by_id["b"] = taken_row
@@ -204,6 +205,7 @@
 
 
 def test_single_claim_probes_a_store_that_is_down() -> None:
+    """Without a queued claim as the probe, the recovery would go unnoticed."""
     rng = random.Random(1)
     budget = StoreBudget(settings=StoreSettings(), rng=rng)
     ledger = ClaimLedger(
@@ -222,6 +224,7 @@
 
 
 def test_answer_to_a_finished_batch_raises() -> None:
+    """A second report could grant a claim that was requested again since."""
     ledger = make_ledger()
     ledger.request("a", 0.0)
     batch = ledger.next_batch(0.0)
@@ -239,6 +242,7 @@
 def test_id_is_granted_at_most_once(
     steps: Sequence[tuple[bool, WriteResult]], ids: Sequence[str]
 ) -> None:
+    """Two instances claim the same ids while writes are lost or delayed."""
     store = Store()
     ledgers = [
         make_ledger(HOME, seed=1, max_rows=3),
--- a/src/cassiaturn/submission/tests/test_table.py
+++ b/src/cassiaturn/submission/tests/test_table.py
@@ -86,6 +86,7 @@
 
 
 def test_not_run_requires_every_start_refused() -> None:
+    """A start that no target refused may have run, so "not run" could be false."""
     table = make_table()
     open_submission(table, ticket(0))
     assert table.begin(ticket(0))
@@ -107,6 +108,7 @@
     ],
 )
 def test_inconsistent_answer_raises(inconsistent: Answer) -> None:
+    """A caller would get an answer that contradicts itself or its submission."""
     table = make_table()
     open_submission(table, ticket(0))
 
@@ -125,6 +127,7 @@
 
 
 def test_different_request_with_same_id_is_mismatched() -> None:
+    """A caller that reuses an id must not get the answer to another request."""
     table = make_table()
     open_submission(table, ticket(0))
     table.settle(answer_of(ticket(0), Outcome.COMPLETE), 1.0)
@@ -175,6 +178,7 @@
 
 
 def test_refusal_by_a_full_table_is_final() -> None:
+    """A resubmission after records were freed must not start refused tasks."""
     table = make_table()
     for sequence in range(3):
         open_submission(table, ticket(sequence))
@@ -241,6 +245,7 @@
 
 
 def test_ticket_of_another_home_raises() -> None:
+    """Two homes that open the same ticket would both start its tasks."""
     with pytest.raises(InvariantError):
         open_submission(make_table(), "t1.osu-2~18c0000000011223344.0.0")
 
@@ -297,6 +302,7 @@
 
 
 def test_fingerprint_depends_on_task_boundaries() -> None:
+    """Different requests with the same joined bytes must not share an answer."""
     fingerprints = {
         fingerprint_of(method="m", tasks=[b"ab"]),
         fingerprint_of(method="m", tasks=[b"a", b"b"]),
--- a/src/cassiaturn/submission/tests/test_ticket.py
+++ b/src/cassiaturn/submission/tests/test_ticket.py
@@ -48,6 +48,7 @@
 
 @given(st.text(max_size=200))
 def test_parsing_never_raises(text: str) -> None:
+    """Callers send any text as an id; an error must not end the request handler."""
     assert parse_ticket("t1." + text) is not None
     if not text.startswith("t1."):
         assert parse_ticket(text) is None
