--- a/src/cassiaturn/membership/__init__.py
+++ b/src/cassiaturn/membership/__init__.py
@@ -1,4 +1,9 @@
-"""Membership: live instances, heartbeat links, and the holders of targets."""
+"""Membership: which instances live, their heartbeat links, and target assignment.
+
+An instance is one process of the dispatcher; its neighbours are the instances that it
+always exchanges heartbeats with. The holder of a target is the instance that starts
+tasks there.
+"""
 
 from cassiaturn.membership._holders import holder_of, holders_by_target
 from cassiaturn.membership._links import links_of
--- a/src/cassiaturn/membership/_change_log.py
+++ b/src/cassiaturn/membership/_change_log.py
@@ -1,4 +1,4 @@
-"""Collects the state changes of members since they were last taken."""
+"""Collects the state changes of members until they are taken by a caller."""
 
 from collections.abc import Sequence
 
--- a/src/cassiaturn/membership/_failure_detector.py
+++ b/src/cassiaturn/membership/_failure_detector.py
@@ -1,4 +1,8 @@
-"""Failure detection by silence: a member is suspected, then gone, then forgotten."""
+"""Failure detection by silence: a member is suspected, then gone, then forgotten.
+
+The silence of a member is the time since its last frame, counted only from when it is
+expected to send: since it is a neighbour, or else since it is probed.
+"""
 
 import math
 
@@ -18,7 +22,7 @@
 
 
 def suspect(row: MemberRow, silent_since: float) -> None:
-    """Suspect a member and probe it, unless it is gone.
+    """Mark a member as suspected and as probed, unless it is gone.
 
     :param silent_since: start of its silence in monotonic time, in seconds.
     """
--- a/src/cassiaturn/membership/_heartbeat_peers.py
+++ b/src/cassiaturn/membership/_heartbeat_peers.py
@@ -1,6 +1,6 @@
 """Caches the instances that this one exchanges heartbeats with.
 
-They are needed many times a second and change only when a member does.
+They are read many times a second and change only when a member changes.
 """
 
 from collections.abc import Collection, Mapping
@@ -10,7 +10,7 @@
 
 
 class HeartbeatPeers:
-    """Caches the links of :func:`links_of`, and members that need a heartbeat."""
+    """Caches the neighbours, and the other members that are to be sent a heartbeat."""
 
     def __init__(self, *, near_links: int) -> None:
         self._near_links = near_links
--- a/src/cassiaturn/membership/_holders.py
+++ b/src/cassiaturn/membership/_holders.py
@@ -4,11 +4,11 @@
 With plain rendezvous hashing, one instance often gets twice its share there, and its
 queue grows while others have free slots. Each instance is therefore limited to the
 mean number of targets, rounded up; the largest and the smallest share then differ by
-what the division makes unavoidable, or by one more.
+the least difference that is possible, or by one more.
 
 The assignment depends on the live instances only. It serves efficiency, not safety:
-for a moment two instances may hold a target, which costs refused starts but breaks no
-guarantee, since the target enforces its slots.
+for a moment two instances may hold a target, which causes refused starts but breaks
+no guarantee, since the target enforces its number of slots.
 """
 
 from collections.abc import Collection, Mapping
@@ -31,9 +31,9 @@
 ) -> Mapping[str, str]:
     """Assign targets evenly; instances with the same view get the same result.
 
-    Pairs of target and instance are taken in descending order of weight, so that the
-    pairs of greatest weight stay when an instance joins or leaves. An instance that
-    has its share is skipped.
+    Pairs of target and instance are taken in descending order of weight, so that most
+    targets keep their instance when another joins or leaves. An instance that has its
+    share is skipped.
 
     :param target_ids: targets of one failure domain.
     :param live_instances: ids of instances there that may hold targets.
--- a/src/cassiaturn/membership/_rows.py
+++ b/src/cassiaturn/membership/_rows.py
@@ -9,7 +9,7 @@
 
 
 class MemberState(Enum):
-    """State of a member as seen from here, and what it restricts."""
+    """State of a member as this instance sees it, and what follows from it."""
 
     STARTING = "starting"
     """It holds no target, sends no work and gets no spilled tasks yet."""
@@ -60,7 +60,7 @@
     """Expected wait of a new task there, in milliseconds."""
 
     suspected: Sequence[str] = ()
-    """Incarnations that it probes, since it or another member cannot hear them."""
+    """Incarnations that it probes, since it or another member suspects them."""
 
     @classmethod
     def from_message(cls, message: pb.Heartbeat) -> "MemberFacts":
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class MemberRow:
-    """One instance as seen from here, in its newest known incarnation."""
+    """One instance as this instance sees it, in its newest known incarnation."""
 
     facts: MemberFacts
     """Its last heartbeat. Of a member known from the platform's list alone, only the
@@ -106,8 +106,8 @@
     """Monotonic time at which its address first refused a connection, in seconds."""
 
     probed_since: float | None = None
-    """Monotonic time from which its silence counts as a probed member, neighbour or
-    not, in seconds; None if it is not probed."""
+    """Monotonic time from which its silence is counted while it is probed and is no
+    neighbour, in seconds; None if it is not probed."""
 
     needs_heartbeat: bool = False
     """Whether it is to be sent one heartbeat, since it probes this instance or may be
@@ -124,7 +124,7 @@
 
     @property
     def state(self) -> MemberState:
-        """State of the member as seen from here."""
+        """State of the member as this instance sees it."""
         if self.gone_at is not None:
             return MemberState.GONE
         if self.suspected:
--- a/src/cassiaturn/membership/_settings.py
+++ b/src/cassiaturn/membership/_settings.py
@@ -7,14 +7,16 @@
 class MembershipSettings:
     """How often instances send heartbeats, and how long they may be silent.
 
+    Neighbours are the instances linked to this one by :func:`links_of`.
+
     Bandwidth: a heartbeat takes about 120 bytes. With 4 links in its own failure
     domain and one to each of 4 others, an instance sends 8 heartbeats a second and
     receives as many. This is 1.9 KB/s of the 2 KB/s allowed, whatever the number of
     instances.
 
-    Timeouts: 2.5 s of silence are two lost heartbeats and a late third. Of a recovery
-    within 5 s, a timeout of 4 s leaves one second for one store write and one round
-    of fences.
+    Timeouts: 2.5 s of silence are two lost heartbeats and a late third. A failed
+    instance is to be recovered from within 5 s. A timeout of 4 s leaves one second of
+    this for one store write and one round of calls that fence it at the targets.
     """
 
     heartbeat_s: float = 1.0
--- a/src/cassiaturn/membership/_table.py
+++ b/src/cassiaturn/membership/_table.py
@@ -5,8 +5,9 @@
 first, and any frame from it ends the suspicion. The platform's list of hosts is only
 a hint. Without the suspicion, each short silence would move targets and work.
 
-The states are not authoritative. A wrong one costs refused starts, or the takeover of
-a running instance, which fences keep safe.
+The states are not authoritative. A wrong one causes refused starts, or the takeover
+of a running instance. That is safe, since targets are told to refuse its starts first
+(fencing).
 """
 
 import math
@@ -119,10 +120,10 @@
     def disconnected(self, incarnation: str, now: float) -> None:
         """Record that the link to a member broke, and suspect and probe it.
 
-        A process that died is suspected so without waiting for its silence. The
-        member has the time between suspicion and gone to answer: one that is no
-        neighbour may have had no reason to send anything for an hour, and only its
-        connection broke.
+        A process that died is thus suspected before its silence would show it. The
+        member may still answer until ``gone_after_s``: only its connection may have
+        broken, and one that is no neighbour may have had no reason to send anything
+        for an hour.
 
         :param incarnation: member at the other end; ignored if unknown.
         :param now: monotonic time, in seconds.
@@ -156,8 +157,8 @@
     def hint(self, hosts: Sequence[HostHint]) -> None:
         """Process the platform's list of hosts, which may be out of date.
 
-        It is used only for instances to link to and for those about to leave. It
-        never removes a member that was heard, and never brings back a gone one.
+        It only adds instances to link to, and tells which are about to leave. It never
+        removes a member that was heard, and never makes a gone one live again.
 
         :param hosts: all entries of the list.
         """
@@ -234,8 +235,8 @@
             self._send_now = True
 
     def _exclude_own_pause(self, now: float) -> None:
-        # A process that was stopped resumes with old times and unread frames. All
-        # members would seem silent, and it would take over all of them.
+        # A process that was paused resumes with old times and unread frames. All
+        # members would seem silent, and it would take over the work of all of them.
         pause_s = 0.0 if self._ticked_at is None else now - self._ticked_at
         self._ticked_at = now
         if pause_s <= self._settings.heartbeat_s:
@@ -246,8 +247,8 @@
     def heartbeat_peer_ids(self) -> Collection[str]:
         """Return ids of the instances to exchange heartbeats with.
 
-        These are the links of :func:`links_of` among members that are not gone, the
-        members under probe, and members that are to be sent one heartbeat.
+        These are the neighbours (:func:`links_of` among members that are not gone),
+        the members under probe, and members that are to be sent one heartbeat.
         """
         return self._peers.peer_ids(self._me, self._members_by_id)
 
@@ -255,12 +256,12 @@
         return self._peers.links(self._me, self._members_by_id)
 
     def heartbeat_due(self, instance_id: str, now: float) -> bool:
-        """Return whether a heartbeat is due to a neighbour.
+        """Return whether a heartbeat to a member is due.
 
         Up to a tenth of the period is subtracted at random, so that instances that
         started together do not keep sending together.
 
-        :param instance_id: the neighbour.
+        :param instance_id: the member; False if unknown.
         :param now: monotonic time, in seconds.
         """
         row = self._members_by_id.get(instance_id)
@@ -286,16 +287,16 @@
             self._peers.invalidate_peers()
 
     def heartbeats_sent(self) -> None:
-        """Record that all neighbours were sent the heartbeats that were due at once."""
+        """Record that the heartbeats which were due at once are sent to all peers."""
         self._send_now = False
 
     def suspicions(self) -> Sequence[str]:
         """Return incarnations to name as suspected in heartbeats.
 
-        These are the members under probe here. A suspicion is passed on at once, so
-        that it crosses a failure domain within one round trip per hop. Each receiver
-        probes the suspected member and stops passing the suspicion on once it hears
-        from it, so that the suspicion dies out.
+        These are the members that this instance probes. A suspicion is passed on at
+        once, so that it crosses a failure domain within one round trip per hop. Each
+        receiver probes the suspected member, and no longer passes the suspicion on
+        once it hears from that member, so that a false suspicion ends.
 
         :returns: at most ``max_suspicions`` incarnations.
         """
@@ -341,8 +342,8 @@
     def _reply_to_probe(self, row: MemberRow, now: float) -> None:
         # A member that is no neighbour sends a heartbeat to probe this instance, since
         # another one suspects it. Without a reply it would declare this instance
-        # gone. A heartbeat right after one from here is itself a reply; replying to
-        # it would never end.
+        # gone. A heartbeat that comes shortly after one was sent to its sender is
+        # itself a reply; if replies were replied to, the exchange would never end.
         if row.facts.instance_id in self._links():
             return
         if row.sent_at is None or now - row.sent_at >= self._settings.heartbeat_s:
--- a/src/cassiaturn/membership/tests/test_fleet.py
+++ b/src/cassiaturn/membership/tests/test_fleet.py
@@ -30,6 +30,7 @@
 
 
 def test_heartbeat_rate_is_bounded_without_failures() -> None:
+    """Without a bound, heartbeats would grow with the number of instances."""
     fleet = Fleet(domains=5, size=12)
     fleet.run(5.0)
     sent_before = fleet.sent
--- a/src/cassiaturn/membership/tests/test_holders.py
+++ b/src/cassiaturn/membership/tests/test_holders.py
@@ -15,6 +15,7 @@
 def test_no_instance_holds_more_than_its_share(
     targets: set[str], instances: set[str]
 ) -> None:
+    """Instances with the same view must agree, and none may be overloaded."""
     holders = holders_by_target(sorted(targets), sorted(instances))
     again = holders_by_target(sorted(targets)[::-1], sorted(instances)[::-1])
 
@@ -32,6 +33,7 @@
 
 @pytest.mark.parametrize(("targets", "instances"), [(8, 3), (6, 2), (24, 9), (280, 70)])
 def test_lost_instance_moves_few_other_targets(targets: int, instances: int) -> None:
+    """Moving targets between live instances causes avoidable refused starts."""
     target_ids = [f"runner-{number}" for number in range(targets)]
     instance_ids = [f"osu-{number}" for number in range(instances)]
     moved = 0
@@ -53,6 +55,7 @@
 def test_links_are_few_symmetric_and_connected(
     domains: int, size: int, near: int
 ) -> None:
+    """Without a path of links, a suspicion would not reach every instance."""
     domain_of = {f"d{d}-{n}": f"d{d}" for d in range(domains) for n in range(size)}
     links = {
         one: set(
@@ -72,6 +75,7 @@
 
 
 def test_domains_of_unequal_size_are_linked() -> None:
+    """A pairing by rank alone would leave instances of the larger domain out."""
     domain_of = {"a1": "a", **{f"b{n}": "b" for n in range(5)}}
     links = {
         one: set(links_of(instance_id=one, domains_by_instance=domain_of, near_links=2))
--- a/src/cassiaturn/membership/tests/test_table.py
+++ b/src/cassiaturn/membership/tests/test_table.py
@@ -105,6 +105,7 @@
 
 
 def test_any_frame_ends_a_suspicion() -> None:
+    """A member whose heartbeats are late but whose other frames arrive is alive."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     run_ticks(table, 0.0, 3.0)
@@ -115,6 +116,7 @@
 
 
 def test_broken_link_causes_suspicion_at_once() -> None:
+    """A process dies; its broken link shows this earlier than its silence."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     table.tick(0.0)
@@ -175,6 +177,10 @@
 
 
 def test_clock_set_back_only_delays_the_replacement() -> None:
+    """
+    The clock of a host is set back and its instance restarts, with a lower start time
+    than before. It must be accepted once the earlier incarnation is gone.
+    """
     table = make_table()
     table.observe(make_facts("a2", boot="20"), 0.0)
     table.observe(make_facts("a2", boot="10"), 1.0)
@@ -192,6 +198,7 @@
 
 
 def test_leaving_member_holds_no_targets() -> None:
+    """A host about to be removed must not keep targets until it is removed."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     table.observe(make_facts("a2", state=MemberState.LEAVING), 0.5)
@@ -228,6 +235,7 @@
 
 
 def test_unheard_host_is_forgotten_when_no_longer_listed() -> None:
+    """Rows of hosts that never sent a frame must not stay for good."""
     table = make_table()
     table.hint([HostHint(instance_id="a2", failure_domain="a")])
     assert "a2" in table.heartbeat_peer_ids()
@@ -265,6 +273,7 @@
 
 
 def test_member_sends_heartbeats_at_once_when_suspected() -> None:
+    """A suspected instance must show that it runs before it is declared gone."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     table.sent("a2", 0.0)
@@ -311,6 +320,7 @@
 
 
 def test_gone_member_is_no_longer_named_as_suspected() -> None:
+    """Suspicions of gone members would fill the limited list in heartbeats."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     run_ticks(table, 0.0, 3.0)
