--- a/src/cassiaturn/targets/_backoff.py
+++ b/src/cassiaturn/targets/_backoff.py
@@ -3,11 +3,11 @@
 import random
 
 INITIAL_PAUSE_S = 0.05
-"""Upper bound of the first pause, in seconds: a restarted process is back soon."""
+"""Upper bound of the first pause, in seconds: a process restarts quickly."""
 
 MAX_PAUSE_S = 2.0
-"""Upper bound of all pauses, in seconds: a target that returns is in use within
-seconds."""
+"""Upper bound of all pauses, in seconds: a target that recovers is used again
+within seconds."""
 
 GROWTH_FACTOR = 2.0
 """Factor between the upper bounds of one pause and the next."""
--- a/src/cassiaturn/targets/_errors.py
+++ b/src/cassiaturn/targets/_errors.py
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetError:
-    """A call to a target that got no reply.
+    """The reason why a call to a target got no reply.
 
-    Whether the target acted on the call is unknown.
+    The target may or may not have carried out the call.
     """
 
     problem: TargetProblem
--- a/src/cassiaturn/targets/_fence.py
+++ b/src/cassiaturn/targets/_fence.py
@@ -1,4 +1,4 @@
-"""The call that fences a dead incarnation off at a target."""
+"""Fences a dead incarnation at a target: its later starts are refused there."""
 
 from collections.abc import Iterable
 
@@ -23,8 +23,8 @@
 ) -> Result[FenceReply, TargetError]:
     """Make a target refuse later starts of a home and list the tasks it started.
 
-    The call uses its own connection, since a successor need not be the holder of the
-    target. It is idempotent.
+    The call uses its own connection, since the successor that makes it need not hold
+    the target and then has no session with it. It is idempotent.
 
     :param address: address of the target.
     :param home: incarnation to fence.
--- a/src/cassiaturn/targets/_session.py
+++ b/src/cassiaturn/targets/_session.py
@@ -1,4 +1,4 @@
-"""Long-lived stream from the holder of a target to its runner."""
+"""Keeps a long-lived stream open from the holder of a target to its runner."""
 
 import asyncio
 import time
@@ -42,13 +42,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SessionCallbacks:
-    """Callbacks of a session to its owner; plain functions that must not block."""
+    """Callbacks of a session; plain functions that must not block."""
 
     on_welcome: Callable[[str, Welcome], None]
     """A stream is established; called with the target id and its welcome. The frame
-    that follows lists every task of this holder that the runner runs or whose result it
-    keeps. Tasks not listed were not started, and starts sent on an earlier stream will
-    not be carried out any more."""
+    of the welcome is passed to ``on_frame`` next. It lists every task of this holder
+    that the runner runs or whose result it keeps. Tasks not listed were not started,
+    and starts sent on an earlier stream will not be carried out any more."""
 
     on_frame: Callable[[str, FromRunner], None]
     """Called for each frame, including the one with the welcome."""
@@ -61,8 +61,8 @@
     """One holder's stream to one runner, reopened on loss until the session is closed.
 
     To send, fill ``outbox.pending`` and call ``outbox.notify()``. Each stream has its
-    own outbox: what a lost stream had not sent is dropped, since the frame with the
-    next welcome shows what arrived.
+    own outbox: what was not sent on a lost stream is dropped, since the
+    frame with the next welcome lists the tasks that the runner received.
     """
 
     def __init__(
@@ -202,8 +202,8 @@
             self._callbacks.on_frame(self.target_id, frame)
 
     async def _watch_silence(self) -> None:
-        # A paused runner keeps its connection open and its slots stay occupied. Only
-        # missing frames reveal it.
+        # A paused runner keeps its connection open and its slots occupied; only the
+        # missing frames show that it is paused.
         while True:
             silent_s = time.monotonic() - self._clock_read_at
             if silent_s > self._silence_timeout_s:
@@ -217,8 +217,8 @@
 
 
 def _report_failure(task: "asyncio.Task[None]") -> None:
-    # An error in a callback ends the session. Unreported, the target would stay unused
-    # until the process ends, without any hint at the cause.
+    # An error in a callback ends the session. If this were not reported, the target
+    # would stay unused until the process ends, and nothing would show the cause.
     if not task.cancelled() and task.exception() is not None:
         task.get_loop().call_exception_handler(
             {"message": f"{task.get_name()} ended", "exception": task.exception()}
--- a/src/cassiaturn/targets/tests/test_faults.py
+++ b/src/cassiaturn/targets/tests/test_faults.py
@@ -1,3 +1,5 @@
+"""Faulty runners, addresses and callbacks, and how sessions and fences react."""
+
 import asyncio
 from typing import Any
 
@@ -95,6 +97,7 @@
 
 
 async def test_error_in_a_callback_is_reported(unused_tcp_port: int) -> None:
+    """A callback fails and ends the session; unreported, nobody would notice."""
     reported: asyncio.Queue[object] = asyncio.Queue()
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
@@ -119,6 +122,7 @@
 
 
 async def test_fence_of_an_unreachable_target_fails(unused_tcp_port: int) -> None:
+    """A target that is down cannot be fenced; the caller must get an error value."""
     address = Address(host=HOST, port=unused_tcp_port)
     outcome = await fence(address=address, home="home", timeout_s=1.0)
     assert outcome.failure().problem is TargetProblem.UNREACHABLE
--- a/src/cassiaturn/targets/tests/test_session.py
+++ b/src/cassiaturn/targets/tests/test_session.py
@@ -1,3 +1,5 @@
+"""Sessions and fences with a runner: starts, refusals, reconnection, fencing."""
+
 import asyncio
 import time
 from collections.abc import AsyncIterator, Callable
@@ -123,6 +125,7 @@
 
 
 async def test_slots_are_enforced(connection: Connection) -> None:
+    """More starts than slots arrive, as from two holders; the excess is refused."""
     for index in range(3):
         connection.send_start(index)
     await connection.received.until(lambda received: len(received.results) == 2)
@@ -147,6 +150,7 @@
 
 
 async def test_runner_clock_is_never_ahead(connection: Connection) -> None:
+    """A bound ahead of the runner's clock would make start-by times too late."""
     bound_ms = connection.session.runner_clock(time.monotonic())
     assert 0 < bound_ms <= time.monotonic_ns() // 1_000_000
 
