--- a/src/cassiaturn/membership/tests/test_table.py
+++ b/src/cassiaturn/membership/tests/test_table.py
@@ -55,7 +55,7 @@
 
 
 def send_to_neighbours(table: MembershipTable) -> None:
-    for instance_id in list(table.neighbours()):
+    for instance_id in list(table.heartbeat_peer_ids()):
         table.sent(instance_id, 0.0)
 
 
@@ -105,6 +105,7 @@
 
 
 def test_any_frame_ends_a_suspicion() -> None:
+    """A member whose heartbeats are late but whose other frames arrive is alive."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     run_ticks(table, 0.0, 3.0)
@@ -115,6 +116,7 @@
 
 
 def test_broken_link_causes_suspicion_at_once() -> None:
+    """A process dies; its broken link shows this earlier than its silence."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     table.tick(0.0)
@@ -136,8 +138,10 @@
     for number in range(1, 9):
         table.observe(make_facts(f"a{number}"), 0.5)
     send_to_neighbours(table)
-    far = next(f"a{n}" for n in range(1, 9) if f"a{n}" not in table.neighbours())
-    near = set(table.neighbours())
+    far = next(
+        f"a{n}" for n in range(1, 9) if f"a{n}" not in table.heartbeat_peer_ids()
+    )
+    near = set(table.heartbeat_peer_ids())
     for second in range(1, 3600):
         for one in near:
             table.heard(make_facts(one).incarnation, float(second))
@@ -145,7 +149,7 @@
     table.disconnected(make_facts(far).incarnation, 3599.5)
 
     assert states(table.tick(3600.0)) == [(far, MemberState.SUSPECTED)]
-    assert far in table.neighbours()
+    assert far in table.heartbeat_peer_ids()
     assert table.heartbeat_due(far, 3600.0)
     table.heard(make_facts(far).incarnation, 3600.1)
     assert states(table.tick(3600.2)) == [(far, MemberState.READY)]
@@ -173,6 +177,10 @@
 
 
 def test_clock_set_back_only_delays_the_replacement() -> None:
+    """
+    The clock of a host is set back and its instance restarts, with a lower start time
+    than before. It must be accepted once the earlier incarnation is gone.
+    """
     table = make_table()
     table.observe(make_facts("a2", boot="20"), 0.0)
     table.observe(make_facts("a2", boot="10"), 1.0)
@@ -190,6 +198,7 @@
 
 
 def test_leaving_member_holds_no_targets() -> None:
+    """A host about to be removed must not keep targets until it is removed."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     table.observe(make_facts("a2", state=MemberState.LEAVING), 0.5)
@@ -226,9 +235,10 @@
 
 
 def test_unheard_host_is_forgotten_when_no_longer_listed() -> None:
+    """Rows of hosts that never sent a frame must not stay for good."""
     table = make_table()
     table.hint([HostHint(instance_id="a2", failure_domain="a")])
-    assert "a2" in table.neighbours()
+    assert "a2" in table.heartbeat_peer_ids()
     assert states(run_ticks(table, 0.0, 4.2))[-1] == ("a2", MemberState.GONE)
 
     table.hint([])
@@ -244,15 +254,17 @@
     table = make_table("a0")
     for number in range(1, 9):
         table.observe(make_facts(f"a{number}"), 0.0)
-    far = next(f"a{n}" for n in range(1, 9) if f"a{n}" not in table.neighbours())
-    near = min(table.neighbours())
+    far = next(
+        f"a{n}" for n in range(1, 9) if f"a{n}" not in table.heartbeat_peer_ids()
+    )
+    near = min(table.heartbeat_peer_ids())
     suspicion = make_facts(near, suspected=(make_facts(far).incarnation,))
     table.observe(suspicion, 2.0)
 
-    assert far in table.neighbours()
+    assert far in table.heartbeat_peer_ids()
     assert table.heartbeat_due(far, 2.0)
     table.heard(make_facts(far).incarnation, 2.1)
-    assert far not in table.neighbours()
+    assert far not in table.heartbeat_peer_ids()
 
     table.observe(suspicion, 4.0)
     changes = run_ticks(table, 4.0, 8.1)
@@ -261,6 +273,7 @@
 
 
 def test_member_sends_heartbeats_at_once_when_suspected() -> None:
+    """A suspected instance must show that it runs before it is declared gone."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     table.sent("a2", 0.0)
@@ -282,7 +295,7 @@
     for number in range(1, 9):
         table.observe(make_facts(f"a{number}"), 0.0)
     send_to_neighbours(table)
-    near = set(table.neighbours())
+    near = set(table.heartbeat_peer_ids())
     lost = min(near)
     now = 0.0
     for second in range(20):
@@ -291,10 +304,10 @@
             table.heard(make_facts(one).incarnation, now)
         changes = table.tick(now)
         assert all(change.instance_id == lost for change in changes) or second == 0
-        if set(table.neighbours()) - near:
+        if set(table.heartbeat_peer_ids()) - near:
             break
 
-    assert set(table.neighbours()) - near
+    assert set(table.heartbeat_peer_ids()) - near
     assert states(table.tick(now)) == []
 
 
@@ -307,6 +320,7 @@
 
 
 def test_gone_member_is_no_longer_named_as_suspected() -> None:
+    """Suspicions of gone members would fill the limited list in heartbeats."""
     table = make_table()
     table.observe(make_facts("a2"), 0.0)
     run_ticks(table, 0.0, 3.0)
