--- a/src/cassiaturn/server/_caller_service.py
+++ b/src/cassiaturn/server/_caller_service.py
@@ -13,8 +13,8 @@
 from cassiaturn.engine import Submission
 from cassiaturn.entities import Answer, Outcome
 from cassiaturn.observability import Event, log_event
-from cassiaturn.server._homes import Homes, Identity
 from cassiaturn.server._raw import RawMessage
+from cassiaturn.server._router import Identity, SubmissionRouter
 from cassiaturn.v1 import dispatcher_pb2 as pb
 from cassiaturn.v1.dispatcher_grpc import DispatcherBase
 
@@ -35,20 +35,20 @@
 class CallerService(DispatcherBase):
     """Submissions, collection, cancellation and tickets."""
 
-    def __init__(self, *, homes: Homes) -> None:
+    def __init__(self, *, router: SubmissionRouter) -> None:
         """Serve from one instance."""
-        self._homes = homes
+        self._router = router
 
     async def IssueTickets(  # noqa: N802 - the name is the schema's
         self, stream: "Stream[pb.IssueTicketsRequest, pb.IssueTicketsReply]"
     ) -> None:
         """Issue ids that name this instance as home, without a store write."""
         request = await _receive(stream)
-        if not self._homes.takes_work:
+        if not self._router.accepts_submissions:
             raise GRPCError(Status.UNAVAILABLE, "this instance is not ready")
         count = min(max(1, request.count), MAX_TICKETS)
-        tickets = [self._homes.issue_ticket() for _ in range(count)]
-        valid_for_ms = self._homes.ticket_valid_ms
+        tickets = [self._router.issue_ticket() for _ in range(count)]
+        valid_for_ms = self._router.ticket_valid_ms
         await stream.send_message(
             pb.IssueTicketsReply(tickets=tickets, valid_for_ms=valid_for_ms)
         )
@@ -59,7 +59,7 @@
         """Accept a submission, wait for its answer and return it."""
         request = await _receive(stream)
         identity = identity_of(stream)
-        answer = await self._homes.submit(to_submission(request, identity))
+        answer = await self._router.submit(to_submission(request, identity))
         if answer.outcome is Outcome.UNKNOWN:
             log_event(
                 Event.SUBMISSION_UNKNOWN,
@@ -73,7 +73,7 @@
     ) -> None:
         """Stream progress, then the answer."""
         request = await _receive(stream)
-        async for event in self._homes.watch(
+        async for event in self._router.watch(
             request.submission_id, identity_of(stream)
         ):
             await stream.send_message(event)
@@ -83,7 +83,7 @@
     ) -> None:
         """Return what is known of a submission now."""
         request = await _receive(stream)
-        answer = await self._homes.collect(request.submission_id, identity_of(stream))
+        answer = await self._router.collect(request.submission_id, identity_of(stream))
         await stream.send_message(answer.to_message())
 
     async def Cancel(  # noqa: N802
@@ -91,7 +91,7 @@
     ) -> None:
         """Cancel a submission that is not settled."""
         request = await _receive(stream)
-        cancelled, answer = await self._homes.cancel(
+        cancelled, answer = await self._router.cancel(
             request.submission_id, identity_of(stream)
         )
         await stream.send_message(
@@ -106,12 +106,14 @@
     generated from its own schema.
     """
 
-    def __init__(self, *, homes: Homes, methods: Mapping[str, object]) -> None:
+    def __init__(
+        self, *, router: SubmissionRouter, methods: Mapping[str, object]
+    ) -> None:
         """Serve the methods of a schema.
 
         :param methods: declared methods by full name.
         """
-        self._homes = homes
+        self._router = router
         self._methods = methods
 
     def __mapping__(self) -> Mapping[str, grpclib.const.Handler]:
@@ -136,14 +138,14 @@
             submission_id = metadata.get(SUBMISSION_KEY)
             deadline = stream.deadline
             submission = Submission(
-                submission_id=str(submission_id or self._homes.issue_ticket()),
+                submission_id=str(submission_id or self._router.issue_ticket()),
                 tenant=identity.tenant,
                 caller=identity.caller,
                 method=name,
                 payloads=(message.content,),
                 deadline_s=deadline.time_remaining() if deadline else 0.0,
             )
-            answer = await self._homes.submit(submission)
+            answer = await self._router.submit(submission)
             await _reply(stream, answer)
 
         return handle
--- a/src/cassiaturn/server/_claims.py
+++ b/src/cassiaturn/server/_claims.py
@@ -39,7 +39,7 @@
 _ROWS = TypeAdapter(ClaimRow)
 
 
-class LookUp(Enum):
+class NoClaimReason(Enum):
     """Why no home is known for a caller's own id."""
 
     ABSENT = auto()
@@ -123,20 +123,20 @@
                 self._budget.failed(time.monotonic())
                 return ()
 
-    async def look_up(self, submission_id: str) -> str | LookUp:
+    async def find_home(self, submission_id: str) -> str | NoClaimReason:
         """Return the home in the claim row of an id, or why there is none."""
         if self._table is None or not self._budget.may_read(time.monotonic()):
-            return LookUp.UNKNOWN
+            return NoClaimReason.UNKNOWN
         key = claim_key(submission_id)
         match await self._table.read([key]):
             case Success(rows):
                 self._budget.succeeded(time.monotonic())
                 claims = claims_of(rows.values())
                 found = claims.get(submission_id)
-                return found.home if found else LookUp.ABSENT
+                return found.home if found else NoClaimReason.ABSENT
             case _:
                 self._budget.failed(time.monotonic())
-                return LookUp.UNKNOWN
+                return NoClaimReason.UNKNOWN
 
     async def run(self) -> None:
         """Write batches until cancelled."""
@@ -152,9 +152,9 @@
                 await self._reread(lost)
             else:
                 await asyncio.sleep(WAIT_S)
-            self._hand_out()
+            self._resolve_futures()
 
-    def _hand_out(self) -> None:
+    def _resolve_futures(self) -> None:
         for resolution in self._ledger.resolved():
             if isinstance(resolution, ClaimUndetermined):
                 log_event(
--- a/src/cassiaturn/server/_forwards.py
+++ b/src/cassiaturn/server/_forwards.py
@@ -34,7 +34,7 @@
             str, set[asyncio.Task[peer_pb2.ForwardReply]]
         ] = {}
 
-    def know(self, instance_id: str, address: Address) -> None:
+    def set_address(self, instance_id: str, address: Address) -> None:
         """Take an instance's present address; a connection to another is closed."""
         self._addresses_by_instance[instance_id] = address
         channel = self._channels_by_instance.pop(instance_id, None)
@@ -90,7 +90,7 @@
         finally:
             calls.discard(call)
 
-    def give_up(self, incarnation: str) -> None:
+    def cancel_calls(self, incarnation: str) -> None:
         # A stopped process keeps its connections open: its callers would wait
         # until their deadlines although a successor can answer by now.
         for call in self._calls_by_incarnation.pop(incarnation, set()):
--- a/src/cassiaturn/server/_holders.py
+++ b/src/cassiaturn/server/_holders.py
@@ -19,12 +19,16 @@
     for target in targets:
         targets_by_domain.setdefault(target.failure_domain, []).append(target.target_id)
     domains = {*targets_by_domain, *_domains(membership)}
-    everyone = sorted({one for domain in domains for one in membership.live(domain)})
+    all_live = sorted(
+        {member for domain in domains for member in membership.live(domain)}
+    )
     held: set[str] = set()
     for domain, target_ids in targets_by_domain.items():
-        instances = membership.live(domain) or everyone
+        instances = membership.live(domain) or all_live
         holders = holders_by_target(target_ids, instances)
-        held.update(target for target, who in holders.items() if who == instance_id)
+        held.update(
+            target for target, holder in holders.items() if holder == instance_id
+        )
     return held
 
 
--- a/src/cassiaturn/server/_hosts.py
+++ b/src/cassiaturn/server/_hosts.py
@@ -7,8 +7,8 @@
 from returns.result import Success
 
 from cassiaturn.membership import HostHint, MembershipTable
-from cassiaturn.server._peers import PeerBook
-from cassiaturn.server._targets import TargetBook
+from cassiaturn.server._peers import PeerManager
+from cassiaturn.server._targets import TargetManager
 from cassiaturn.services import Host, HostList, HostState
 
 JITTER = 0.25
@@ -25,8 +25,8 @@
         hosts: HostList | None,
         period_s: float,
         membership: MembershipTable,
-        peers: PeerBook,
-        targets: TargetBook,
+        peers: PeerManager,
+        targets: TargetManager,
         rng: random.Random,
     ) -> None:
         """Read for one instance; None: the settings name no list."""
@@ -44,21 +44,21 @@
         while True:
             match await self._hosts.hosts():
                 case Success(hosts):
-                    self._take(hosts)
+                    self._apply(hosts)
                 case _:
                     # What is known stays: an outage of the list moves nothing.
                     pass
             factor = self._rng.uniform(1 - JITTER, 1 + JITTER)
             await asyncio.sleep(self._period_s * factor)
 
-    def _take(self, hosts: Sequence[Host]) -> None:
+    def _apply(self, hosts: Sequence[Host]) -> None:
         hints = []
         for host in hosts:
             leaving = host.state is HostState.LEAVING
             if host.host_id in self._targets.settings_by_target:
-                self._targets.note_leaving(host.host_id, leaving=leaving)
+                self._targets.set_listed_leaving(host.host_id, leaving=leaving)
                 continue
-            self._peers.know(host.host_id, host.address)
+            self._peers.set_address(host.host_id, host.address)
             hints.append(
                 HostHint(
                     instance_id=host.host_id,
--- a/src/cassiaturn/server/_instance.py
+++ b/src/cassiaturn/server/_instance.py
@@ -27,8 +27,8 @@
 )
 from cassiaturn.server._caller_service import CallerService, SchemaService
 from cassiaturn.server._holders import targets_to_hold
+from cassiaturn.server._instance_base import InstanceBase
 from cassiaturn.server._operator_service import OperatorService
-from cassiaturn.server._parts import InstanceParts
 from cassiaturn.server._peer_service import PeerService
 from cassiaturn.server._status import status_of
 from cassiaturn.submission import (
@@ -47,16 +47,16 @@
 LEAVING_NOTICE_S = 0.2
 """Time for peers to hear that we leave before our listening port closes."""
 
-CALM_S = 5.0
+OVERLOAD_END_S = 5.0
 """Time without a refusal after which an overload is over, in seconds."""
 
 CLOSE_TIMEOUT_S = 1.0
 """Longest wait for the listening port and its connections, in seconds."""
 
-LAST_ANSWER_S = 0.1
+LAST_ANSWERS_S = 0.1
 """Time for the last answers to leave before the connections close, in seconds."""
 
-DRAIN_STEP_S = 0.02
+DRAIN_POLL_S = 0.02
 """Pause between two looks at whether everything has ended, in seconds."""
 
 HOLDERS_PERIOD_S = 1.0
@@ -66,7 +66,7 @@
 """Period in which a tenant's quota is split anew: twice a heartbeat."""
 
 
-class Instance(InstanceParts):
+class Instance(InstanceBase):
     """A running instance; :meth:`start` it, then :meth:`stop` it."""
 
     async def start(self) -> None:
@@ -75,10 +75,12 @@
         :raises OSError: the port is taken or not ours.
         """
         handlers: list[IServable] = [
-            CallerService(homes=self.homes),
-            SchemaService(homes=self.homes, methods=self.state.schema.methods_by_name),
+            CallerService(router=self.router),
+            SchemaService(
+                router=self.router, methods=self.state.schema.methods_by_name
+            ),
             PeerService(
-                homes=self.homes,
+                router=self.router,
                 peers=self.peers,
                 configuration=self.configuration_json,
             ),
@@ -112,13 +114,13 @@
         self._holders_due_at = 0.0
         self.peers.announce()
         limit_s = self.settings.timings.drain_timeout_ms / MILLISECONDS
-        give_up = time.monotonic() + limit_s
+        give_up_at = time.monotonic() + limit_s
         await asyncio.sleep(LEAVING_NOTICE_S)
-        while self._busy() and time.monotonic() < give_up:  # noqa: ASYNC110
+        while self._has_open_work() and time.monotonic() < give_up_at:  # noqa: ASYNC110
             # Several tables have to be empty at once, so no single event tells.
-            await asyncio.sleep(DRAIN_STEP_S)
-        await asyncio.sleep(LAST_ANSWER_S)
-        if self._busy():
+            await asyncio.sleep(DRAIN_POLL_S)
+        await asyncio.sleep(LAST_ANSWERS_S)
+        if self._has_open_work():
             log_event(Event.DRAIN_TIMED_OUT, open=len(self.state.jobs_by_id))
 
     async def close(self) -> None:
@@ -180,7 +182,7 @@
             if self._refused_at is None:
                 log_event(Event.OVERLOAD_STARTED, queued=len(self.state.queue))
             self._refused_at = now
-        elif self._refused_at is not None and now - self._refused_at > CALM_S:
+        elif self._refused_at is not None and now - self._refused_at > OVERLOAD_END_S:
             self._refused_at = None
             log_event(Event.OVERLOAD_ENDED, refused=refused)
 
@@ -189,10 +191,10 @@
         state = self.pauses.tick(now)
         if state is HoldState.HELD and before is not HoldState.HELD:
             log_event(Event.PAUSE_DETECTED, incarnation=self.incarnation)
-            self._run(self._confirm_home())
+            self._run(self._confirm_not_superseded())
         self.state.starts_held = not self.pauses.may_start
 
-    async def _confirm_home(self) -> None:
+    async def _confirm_not_superseded(self) -> None:
         while self.pauses.must_read:
             present = await self.successor.was_taken_over(self.incarnation)
             if present is None:
@@ -227,7 +229,7 @@
         self._holders_due_at = now
         for change in changes:
             if change.superseded_by:
-                self.successor.proved_dead(change.incarnation, now)
+                self.successor.mark_dead(change.incarnation, now)
 
     def _apply_configuration(self, configuration: SharedConfiguration) -> None:
         tenants = {
@@ -240,7 +242,7 @@
         }
         self.state.tenants_by_name = tenants
         self.state.reconfigure(configuration.applied_to(self.settings.policy))
-        self.targets.drain_shared(configuration.content.drained_targets)
+        self.targets.set_drained_by_configuration(configuration.content.drained_targets)
         self.state.queue.set_weights(
             {name: tenant.weight for name, tenant in tenants.items()}
         )
@@ -267,7 +269,7 @@
         log_event(Event.INCARNATION_FENCED, incarnation=self.incarnation)
         supersede_all(self.state, time.monotonic())
 
-    def _busy(self) -> bool:
+    def _has_open_work(self) -> bool:
         return bool(self.state.jobs_by_id or self.state.in_flight_by_key)
 
     def _run(self, coroutine: Coroutine[None, None, None]) -> None:
--- a/src/cassiaturn/server/_parts.py
+++ b/src/cassiaturn/server/_instance_base.py
@@ -29,16 +29,16 @@
     TakeoverTable,
 )
 from cassiaturn.server._claims import ClaimWriter
-from cassiaturn.server._homes import Homes
 from cassiaturn.server._hosts import HostListReader
 from cassiaturn.server._link import Link
 from cassiaturn.server._offload import Offloader
-from cassiaturn.server._peers import PeerBook, load_of
-from cassiaturn.server._platform import Platform
+from cassiaturn.server._peers import PeerManager, load_of
+from cassiaturn.server._platform import PlatformServices
 from cassiaturn.server._ports import ServerPorts
 from cassiaturn.server._reclaim import Reclaimer
+from cassiaturn.server._router import SubmissionRouter
 from cassiaturn.server._successor import Successor
-from cassiaturn.server._targets import TargetBook
+from cassiaturn.server._targets import TargetManager
 from cassiaturn.settings import InstanceSettings
 from cassiaturn.submission import (
     ClaimLedger,
@@ -55,7 +55,7 @@
 MILLISECONDS = 1000
 
 
-class InstanceParts(ABC):
+class InstanceBase(ABC):
     """The tables, streams and loops of one instance, not running yet.
 
     :class:`Instance` adds how they run and what they tell each other.
@@ -96,14 +96,16 @@
         self._holders_due_at = 0.0
         self._server: ClosingServer | None = None
         self._superseded = False
-        self.platform = Platform(
+        self.platform = PlatformServices(
             settings=settings.platform, timings=settings.timings, metrics=self.metrics
         )
         self._build_engine(schema)
         self._build_membership()
         self._build_homes()
         self._build_host_list()
-        self.reclaimer = Reclaimer(state=self.state, addresses_in=self._targets_of)
+        self.reclaimer = Reclaimer(
+            state=self.state, addresses_for_peer=self._addresses_for_peer
+        )
         self.configuration = ConfigurationKeeper(
             table=self.platform.table,
             budget=self.budget,
@@ -161,14 +163,14 @@
             submissions=submissions,
             ports=self.ports,
         )
-        self.targets = TargetBook(state=self.state, holder=self.incarnation)
-        self.targets.know(settings.targets)
+        self.targets = TargetManager(state=self.state, holder=self.incarnation)
+        self.targets.update_targets(settings.targets)
         self.ports.sessions_by_target = self.targets.sessions_by_target
 
     def _build_membership(self) -> None:
         timings = self.settings.timings
         self.membership = MembershipTable(
-            me=MemberRow(facts=self._facts()),
+            me=MemberRow(facts=self._own_facts()),
             settings=MembershipSettings(
                 heartbeat_s=timings.heartbeat_ms / MILLISECONDS,
                 suspect_after_s=timings.suspect_after_ms / MILLISECONDS,
@@ -176,7 +178,7 @@
             ),
             rng=self._rng,
         )
-        self.peers = PeerBook(
+        self.peers = PeerManager(
             state=self.state,
             membership=self.membership,
             addresses_by_instance={
@@ -184,7 +186,7 @@
             },
             links_by_incarnation=self._links_by_incarnation,
             metrics=self.metrics,
-            describe=self._facts,
+            own_facts=self._own_facts,
             on_change=self._on_member_change,
             connect_timeout_s=timings.connect_timeout_ms / MILLISECONDS,
             full_links=self.settings.limits.full_links,
@@ -240,7 +242,7 @@
             max_clock_skew_ms=limits.max_clock_skew_ms,
             ticket_valid_ms=limits.ticket_valid_ms,
         )
-        self.homes = Homes(
+        self.router = SubmissionRouter(
             state=self.state,
             ports=self.ports,
             issuer=TicketIssuer(
@@ -256,11 +258,11 @@
         self.offloader = Offloader(
             submissions=self.state.submissions,
             objects=self.platform.objects,
-            kept_s=limits.result_retention_ms / MILLISECONDS,
+            retention_s=limits.result_retention_ms / MILLISECONDS,
         )
-        self.homes.fetch_results = self.offloader.fetch
+        self.router.fetch_results = self.offloader.fetch
 
-    def _targets_of(self, incarnation: str) -> dict[str, Address]:
+    def _addresses_for_peer(self, incarnation: str) -> dict[str, Address]:
         """Return the targets that another instance may have started tasks at."""
         domains = self.peers.domains_by_incarnation.get(incarnation, set())
         return {
@@ -279,7 +281,7 @@
             rng=self._rng,
         )
 
-    def _facts(self) -> MemberFacts:
+    def _own_facts(self) -> MemberFacts:
         slots, free_slots, queued, wait_ms = load_of(self.state)
         configuration = getattr(self, "configuration", None)
         return MemberFacts(
--- a/src/cassiaturn/server/_link.py
+++ b/src/cassiaturn/server/_link.py
@@ -63,7 +63,7 @@
         """
         return self._clock_ms + int((now - self._clock_seen_at) * MILLISECONDS)
 
-    def _note(self, frame: PeerFrame) -> None:
+    def _record_received(self, frame: PeerFrame) -> None:
         self.heard_at = time.monotonic()
         self._clock_ms = frame.clock_ms
         self._clock_seen_at = self.heard_at
@@ -73,23 +73,23 @@
         stream: FrameStream,
         *,
         first: PeerFrame,
-        stamp: Callable[["Link", PeerFrame], None],
+        before_send: Callable[["Link", PeerFrame], None],
         on_frame: Callable[["Link", PeerFrame], None],
     ) -> None:
         """Exchange frames until either side ends or :attr:`closed` is set.
 
         :param first: the peer's first frame, already read.
-        :param stamp: adds what rides on every frame that is sent.
+        :param before_send: adds what rides on every frame that is sent.
         :param on_frame: takes each frame received.
         """
 
         async def send(frame: PeerFrame) -> None:
-            stamp(self, frame)
+            before_send(self, frame)
             frame.clock_ms = int(time.monotonic() * MILLISECONDS)
             self.sent_at = time.monotonic()
             await stream.send_message(frame)
 
-        self._note(first)
+        self._record_received(first)
         on_frame(self, first)
         jobs = [
             asyncio.ensure_future(self.outbox.pump(send)),
@@ -109,7 +109,7 @@
         self, stream: FrameStream, on_frame: Callable[["Link", PeerFrame], None]
     ) -> None:
         while (frame := await stream.recv_message()) is not None:
-            self._note(frame)
+            self._record_received(frame)
             self.frames_received += 1
             on_frame(self, frame)
 
@@ -121,7 +121,7 @@
         self,
         *,
         address: Address,
-        hello: Callable[[], PeerFrame],
+        first_frame: Callable[[], PeerFrame],
         serve: Callable[[FrameStream, PeerFrame], Awaitable[None]],
         on_refused: Callable[[], None],
         connect_timeout_s: float,
@@ -129,13 +129,13 @@
         """Prepare to connect; :meth:`run` does.
 
         :param address: where the peer listens.
-        :param hello: makes the first frame, a heartbeat.
+        :param first_frame: makes the first frame, a heartbeat.
         :param serve: runs the link once the peer's first frame is read.
         :param on_refused: called when nothing listens at the address.
         :param connect_timeout_s: longest wait for that frame, in seconds.
         """
         self._address = address
-        self._hello = hello
+        self._first_frame = first_frame
         self._serve = serve
         self._on_refused = on_refused
         self._connect_timeout_s = connect_timeout_s
@@ -157,7 +157,7 @@
     async def _serve_once(self, channel: Channel) -> None:
         async with PeerStub(channel).Link.open() as stream:
             async with asyncio.timeout(self._connect_timeout_s):
-                await stream.send_message(self._hello())
+                await stream.send_message(self._first_frame())
                 first = await stream.recv_message()
             if first is None:
                 return
--- a/src/cassiaturn/server/_offload.py
+++ b/src/cassiaturn/server/_offload.py
@@ -27,17 +27,17 @@
         *,
         submissions: SubmissionTable,
         objects: ObjectStore | None,
-        kept_s: float,
+        retention_s: float,
     ) -> None:
         """Write for one instance.
 
         :param objects: None where the settings name no store: results stay in
             memory.
-        :param kept_s: how long an object is kept, in seconds.
+        :param retention_s: how long an object is kept, in seconds.
         """
         self._submissions = submissions
         self._objects = objects
-        self._kept_s = kept_s
+        self._retention_s = retention_s
         self._written: deque[tuple[float, str]] = deque()
         self._wake = asyncio.Event()
 
@@ -87,7 +87,7 @@
                 self._wake.set()
 
     async def _delete_old(self, objects: ObjectStore) -> None:
-        oldest = time.monotonic() - self._kept_s
+        oldest = time.monotonic() - self._retention_s
         while self._written and self._written[0][0] < oldest:
             match await objects.delete(self._written[0][1]):
                 case Success(_):
--- a/src/cassiaturn/server/_peer_service.py
+++ b/src/cassiaturn/server/_peer_service.py
@@ -8,8 +8,8 @@
 
 from cassiaturn.entities import Answer
 from cassiaturn.server._caller_service import to_submission
-from cassiaturn.server._homes import Homes, Identity
-from cassiaturn.server._peers import PeerBook
+from cassiaturn.server._peers import PeerManager
+from cassiaturn.server._router import Identity, SubmissionRouter
 from cassiaturn.v1 import peer_pb2 as pb
 from cassiaturn.v1.peer_grpc import PeerBase
 
@@ -18,13 +18,17 @@
     """Links, and calls that name this instance as home."""
 
     def __init__(
-        self, *, homes: Homes, peers: PeerBook, configuration: Callable[[], str]
+        self,
+        *,
+        router: SubmissionRouter,
+        peers: PeerManager,
+        configuration: Callable[[], str],
     ) -> None:
         """Serve from one instance.
 
         :param configuration: returns the shared configuration in force as JSON.
         """
-        self._homes = homes
+        self._router = router
         self._configuration = configuration
         self._peers = peers
 
@@ -35,7 +39,7 @@
         first = await stream.recv_message()
         if first is None:
             return
-        await stream.send_message(self._peers.hello())
+        await stream.send_message(self._peers.first_frame())
         await self._peers.serve(stream, first)
 
     async def Forward(  # noqa: N802
@@ -61,9 +65,9 @@
         hops = request.hops
         if request.HasField("submit"):
             submission = to_submission(request.submit, identity)
-            return False, await self._homes.submit(submission, hops=hops)
+            return False, await self._router.submit(submission, hops=hops)
         if request.HasField("cancel"):
             submission_id = request.cancel.submission_id
-            return await self._homes.cancel(submission_id, identity, hops=hops)
+            return await self._router.cancel(submission_id, identity, hops=hops)
         submission_id = request.collect.submission_id
-        return False, await self._homes.collect(submission_id, identity, hops=hops)
+        return False, await self._router.collect(submission_id, identity, hops=hops)
--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -40,7 +40,7 @@
 MILLISECONDS = 1000
 
 
-class PeerBook:
+class PeerManager:
     """Keeps a link to each neighbour and tells the engine what it hears."""
 
     def __init__(
@@ -51,14 +51,14 @@
         addresses_by_instance: Mapping[str, Address],
         links_by_incarnation: dict[str, Link],
         metrics: Metrics,
-        describe: Callable[[], MemberFacts],
+        own_facts: Callable[[], MemberFacts],
         on_change: Callable[[Sequence[MemberChange]], None],
         connect_timeout_s: float,
         full_links: int,
     ) -> None:
         """Start without links.
 
-        :param describe: makes what this instance tells about itself now.
+        :param own_facts: makes what this instance tells about itself now.
         :param on_change: takes the changes of every tick that had some.
         :param full_links: instances up to which all are linked to each other.
         """
@@ -70,7 +70,7 @@
         self._notices = FreeSlotNotices(
             failure_domain=membership.me.facts.failure_domain
         )
-        self._describe = describe
+        self._own_facts = own_facts
         self._on_change = on_change
         self._connect_timeout_s = connect_timeout_s
         self._full_links = full_links
@@ -78,12 +78,12 @@
         self._dialers_by_instance: dict[str, asyncio.Task[None]] = {}
         self.forwards = Forwards(membership=membership)
         for instance_id, address in addresses_by_instance.items():
-            self.forwards.know(instance_id, address)
+            self.forwards.set_address(instance_id, address)
         self.domains_by_incarnation: dict[str, set[str]] = {}
         """Failure domains where an incarnation ever held targets."""
-        self._ended: set[str] = set()
+        self._ended_incarnations: set[str] = set()
 
-    def know(self, instance_id: str, address: Address) -> None:
+    def set_address(self, instance_id: str, address: Address) -> None:
         """Take an instance's present address."""
         known = self._addresses_by_instance.get(instance_id)
         is_me = instance_id == self._membership.me.facts.instance_id
@@ -93,18 +93,18 @@
         dialer = self._dialers_by_instance.pop(instance_id, None)
         if dialer is not None:
             dialer.cancel()
-        self.forwards.know(instance_id, address)
+        self.forwards.set_address(instance_id, address)
 
     def is_gone(self, incarnation: str) -> bool:
         """Whether an incarnation has ended or was silent for too long."""
-        if incarnation in self._ended:
+        if incarnation in self._ended_incarnations:
             return True
         row = self._membership.members_by_id.get(instance_of(incarnation) or "")
         if row is None or row.facts.incarnation != incarnation:
             return False
         return row.state is MemberState.GONE
 
-    def note_unknown(self, incarnation: str) -> None:
+    def mark_ended_if_replaced(self, incarnation: str) -> None:
         """Take an incarnation that a newer one replaced for ended."""
         row = self._membership.members_by_id.get(instance_of(incarnation) or "")
         known = row.facts.incarnation if row is not None else ""
@@ -114,7 +114,7 @@
         # replaced every older one. A younger one may just not be heard yet:
         # taken for ended, it would be fenced in its first second.
         if booted_ms(incarnation) < booted_ms(known):
-            self._ended.add(incarnation)
+            self._ended_incarnations.add(incarnation)
 
     async def fetch_configuration(self, version: int) -> str | None:
         """Return the shared configuration of a member that told a version."""
@@ -144,7 +144,10 @@
         self._send_heartbeat(link)
         try:
             await link.run(
-                stream, first=first, stamp=self._stamp, on_frame=self._on_frame
+                stream,
+                first=first,
+                before_send=self._before_send,
+                on_frame=self._on_frame,
             )
         finally:
             if self.links_by_incarnation.get(incarnation) is link:
@@ -153,16 +156,16 @@
                 self._set_ready(incarnation, False)
             log_event(Event.PEER_LOST, incarnation=incarnation)
 
-    def hello(self) -> peer_pb2.PeerFrame:
+    def first_frame(self) -> peer_pb2.PeerFrame:
         """Return the first frame of a link."""
         return peer_pb2.PeerFrame(heartbeat=self._heartbeat(full=True))
 
     def tick(self, now: float) -> None:
         """Judge silences, open links, send heartbeats that are due."""
-        self._membership.describe(self._describe())
+        self._membership.describe(self._own_facts())
         changes = self._membership.tick(now)
         for change in changes:
-            self._take_change(change, now)
+            self._apply_change(change, now)
         if changes:
             self._on_change(changes)
         self._dial(now)
@@ -192,7 +195,7 @@
 
     def announce(self) -> None:
         """Tell every linked peer at once what this instance is now."""
-        self._membership.describe(self._describe())
+        self._membership.describe(self._own_facts())
         for link in self.links_by_incarnation.values():
             self._send_heartbeat(link)
 
@@ -210,15 +213,17 @@
     def _dial(self, now: float) -> None:
         # One side opens a link, the lower id, so that there is one a pair.
         me = self._membership.me.facts.instance_id
-        wanted = {instance_id for instance_id in self._wanted() if me < instance_id}
+        wanted = {
+            instance_id for instance_id in self._peers_to_link() if me < instance_id
+        }
         # A lost neighbour is tried from both sides: a refusal proves its end.
         wanted |= self._lost_neighbours()
         for instance_id in wanted - self._dialers_by_instance.keys():
             dialer = LinkDialer(
                 address=self._addresses_by_instance[instance_id],
-                hello=self.hello,
+                first_frame=self.first_frame,
                 serve=self.serve,
-                on_refused=partial(self._note_refused, instance_id),
+                on_refused=partial(self._on_connection_refused, instance_id),
                 connect_timeout_s=self._connect_timeout_s,
             )
             self._dialers_by_instance[instance_id] = asyncio.create_task(
@@ -231,20 +236,20 @@
         members = self._membership.members_by_id
         return {
             instance_id
-            for instance_id in self._wanted()
+            for instance_id in self._peers_to_link()
             if instance_id in members and members[instance_id].suspected
         }
 
-    def _note_refused(self, instance_id: str) -> None:
+    def _on_connection_refused(self, instance_id: str) -> None:
         self._membership.refused(instance_id, time.monotonic())
 
-    def _wanted(self) -> Collection[str]:
+    def _peers_to_link(self) -> Collection[str]:
         known = self._addresses_by_instance.keys()
         if len(known) < self._full_links:
             return known
         return known & set(self._membership.neighbours())
 
-    def hears(self, incarnation: str) -> bool:
+    def exchanges_heartbeats_with(self, incarnation: str) -> bool:
         """Whether this instance exchanges heartbeats with an incarnation."""
         instance_id = instance_of(incarnation) or ""
         return instance_id in self._membership.neighbours()
@@ -271,7 +276,7 @@
         )
         return sorted(link for link in links if link != me.instance_id)
 
-    def _take_change(self, change: MemberChange, now: float) -> None:
+    def _apply_change(self, change: MemberChange, now: float) -> None:
         log_event(
             Event.PEER_STATE,
             peer=change.instance_id,
@@ -280,10 +285,10 @@
             after=change.after,
         )
         if change.superseded_by:
-            self._ended.add(change.incarnation)
+            self._ended_incarnations.add(change.incarnation)
         if change.after is MemberState.GONE or change.superseded_by:
             on_peer_gone(self._state, change.incarnation, now)
-            self.forwards.give_up(change.incarnation)
+            self.forwards.cancel_calls(change.incarnation)
             self._notices.forget(change.incarnation)
         else:
             ready = change.after is MemberState.READY
@@ -298,7 +303,7 @@
         now = time.monotonic()
         state = self._state
         peer = link.incarnation
-        self._count(frame, Direction.RECEIVED)
+        self._count_frame(frame, Direction.RECEIVED)
         if frame.HasField("heartbeat"):
             self._observe(link, frame.heartbeat, now)
         else:
@@ -357,16 +362,16 @@
         link.outbox.pending.heartbeat.CopyFrom(self._heartbeat(full=True))
         link.outbox.notify()
 
-    def _stamp(self, link: Link, frame: peer_pb2.PeerFrame) -> None:
+    def _before_send(self, link: Link, frame: peer_pb2.PeerFrame) -> None:
         now = time.monotonic()
         if not frame.HasField("heartbeat"):
             frame.heartbeat.CopyFrom(self._heartbeat(full=False))
         self._membership.sent(instance_of(link.incarnation) or "", now)
         self._notices.record_sent(link.incarnation, frame.heartbeat.free_slots)
-        self._count(frame, Direction.SENT)
+        self._count_frame(frame, Direction.SENT)
 
     def _heartbeat(self, *, full: bool) -> peer_pb2.Heartbeat:
-        facts = self._describe()
+        facts = self._own_facts()
         beat = peer_pb2.Heartbeat(
             instance_id=facts.instance_id,
             incarnation=facts.incarnation,
@@ -384,7 +389,7 @@
             self._add_tenants(beat)
         return beat
 
-    def _count(self, frame: peer_pb2.PeerFrame, direction: Direction) -> None:
+    def _count_frame(self, frame: peer_pb2.PeerFrame, direction: Direction) -> None:
         metrics = self._metrics
         metrics.peer_frames_by_direction[direction].value += 1
         metrics.peer_bytes_by_direction[direction].value += frame.ByteSize()
--- a/src/cassiaturn/server/_platform.py
+++ b/src/cassiaturn/server/_platform.py
@@ -15,7 +15,7 @@
 MILLISECONDS = 1000
 
 
-class Platform:
+class PlatformServices:
     """The three services; one that is not named is None."""
 
     def __init__(
--- a/src/cassiaturn/server/_reclaim.py
+++ b/src/cassiaturn/server/_reclaim.py
@@ -38,10 +38,10 @@
 
 MILLISECONDS = 1000
 
-PERIOD_S = 0.5
+SCAN_PERIOD_S = 0.5
 """Time between two looks for tasks of vanished holders, in seconds."""
 
-ASK_TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 """Longest wait for what a target tells, in seconds."""
 
 LEASE_MS = 2_000
@@ -49,20 +49,20 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Told:
+class _FenceReplies:
     """What the targets of a vanished holder told."""
 
     begun_by_key: Mapping[TaskKey, Begun]
     """Tasks that some target began."""
 
-    told: Collection[str]
+    answered: Collection[str]
     """Targets that answered and remember everything asked for."""
 
-    silent: Collection[str]
+    unanswered: Collection[str]
     """Targets that did not."""
 
 
-def _remembers(reply: FenceReply, age_s: float) -> bool:
+def _remembers_since(reply: FenceReply, age_s: float) -> bool:
     """Return whether a target would know of every start in a time.
 
     A runner that was restarted since, or that forgets sooner, cannot deny a run:
@@ -81,20 +81,20 @@
         self,
         *,
         state: State,
-        addresses_in: Callable[[str], Mapping[str, Address]],
+        addresses_for_peer: Callable[[str], Mapping[str, Address]],
     ) -> None:
         """Reclaim for one instance.
 
-        :param addresses_in: targets that an incarnation may have started tasks
+        :param addresses_for_peer: targets that an incarnation may have started tasks
             at, by the failure domains where it held any.
         """
         self._state = state
-        self._addresses_in = addresses_in
+        self._addresses_for_peer = addresses_for_peer
 
     async def run(self) -> None:
         """Reclaim until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(SCAN_PERIOD_S)
             for peer, records in self._overdue(time.monotonic()).items():
                 await self._settle(peer, records)
 
@@ -113,23 +113,23 @@
         return records_by_peer
 
     async def _settle(self, peer: str, records: Sequence[TaskRecord]) -> None:
-        addresses_by_target = self._addresses_in(peer)
+        addresses_by_target = self._addresses_for_peer(peer)
         if not addresses_by_target:
             # With nobody to deny a run, nothing is proved.
             return
-        told = await self._ask(addresses_by_target, records)
+        replies = await self._query_targets(addresses_by_target, records)
         now = time.monotonic()
         for record in records:
             if record.state is TaskState.SPILLED and record.peer == peer:
-                self._decide(record, told, now)
+                self._decide(record, replies, now)
         dispatch(self._state, now)
 
-    def _decide(self, record: TaskRecord, told: _Told, now: float) -> None:
+    def _decide(self, record: TaskRecord, replies: _FenceReplies, now: float) -> None:
         decision = decide_task(
             repeatable=record.method.repeatable,
-            begun=told.begun_by_key.get(record.key),
-            fenced_targets=told.told,
-            unfenced_targets=told.silent,
+            begun=replies.begun_by_key.get(record.key),
+            fenced_targets=replies.answered,
+            unfenced_targets=replies.unanswered,
             gone_targets=(),
             over_by=record.over_by,
             now=now,
@@ -147,11 +147,11 @@
                 # sweep gives the task up at the end of its longest run.
                 pass
 
-    async def _ask(
+    async def _query_targets(
         self,
         addresses_by_target: Mapping[str, Address],
         records: Sequence[TaskRecord],
-    ) -> _Told:
+    ) -> _FenceReplies:
         keys = [record.key for record in records]
         oldest_s = time.monotonic() - min(record.sent_at for record in records)
         replies = await asyncio.gather(
@@ -159,7 +159,7 @@
                 fence(
                     address=address,
                     home=self._state.settings.incarnation,
-                    timeout_s=ASK_TIMEOUT_S,
+                    timeout_s=QUERY_TIMEOUT_S,
                     lease_ms=LEASE_MS,
                     only_tell=True,
                     about=keys,
@@ -168,13 +168,15 @@
             )
         )
         begun_by_key: dict[TaskKey, Begun] = {}
-        told: set[str] = set()
-        silent: set[str] = set()
+        answered: set[str] = set()
+        unanswered: set[str] = set()
         for target_id, reply in zip(addresses_by_target, replies, strict=True):
             match reply:
-                case Success(message) if _remembers(message, oldest_s):
-                    told.add(target_id)
+                case Success(message) if _remembers_since(message, oldest_s):
+                    answered.add(target_id)
                     begun_by_key.update(FenceReport.from_message(message).begun)
                 case _:
-                    silent.add(target_id)
-        return _Told(begun_by_key=begun_by_key, told=told, silent=silent)
+                    unanswered.add(target_id)
+        return _FenceReplies(
+            begun_by_key=begun_by_key, answered=answered, unanswered=unanswered
+        )
--- a/src/cassiaturn/server/_homes.py
+++ b/src/cassiaturn/server/_router.py
@@ -7,8 +7,8 @@
 
 from cassiaturn.engine import State, Submission, cancel, dispatch, pending, submit
 from cassiaturn.entities import Answer, Outcome, Ran, Reason
-from cassiaturn.server._claims import ClaimWriter, LookUp
-from cassiaturn.server._peers import PeerBook
+from cassiaturn.server._claims import ClaimWriter, NoClaimReason
+from cassiaturn.server._peers import PeerManager
 from cassiaturn.server._ports import ServerPorts
 from cassiaturn.server._successor import Successor
 from cassiaturn.submission import (
@@ -32,10 +32,10 @@
 WATCH_PERIOD_S = 0.2
 """Time between two progress events of a watched job, in seconds."""
 
-LONGEST_WAIT_S = 3600.0
+MAX_WAIT_S = 3600.0
 """Wait for a submission whose caller set no deadline, in seconds."""
 
-SHORTEST_S = 0.001
+MIN_DEADLINE_S = 0.001
 """Deadline of a submission whose time ran out while its id was claimed."""
 
 UNKNOWN_RETRY_MS = 200
@@ -61,7 +61,7 @@
     return None
 
 
-class Homes:
+class SubmissionRouter:
     """Routes by submission id: served here, forwarded, or taken over."""
 
     def __init__(
@@ -71,7 +71,7 @@
         ports: ServerPorts,
         issuer: TicketIssuer,
         ticket_valid_ms: int,
-        peers: PeerBook,
+        peers: PeerManager,
         claims: ClaimWriter,
         successor: Successor,
     ) -> None:
@@ -86,10 +86,10 @@
         self.ticket_valid_ms = ticket_valid_ms
         self.fetch_results: FetchResults = _fetch_nothing
         """Set once the object store's user stands."""
-        self._openings: set[asyncio.Task[str | Answer]] = set()
+        self._claim_tasks: set[asyncio.Task[str | Answer]] = set()
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_submissions(self) -> bool:
         """Whether new submissions are taken.
 
         Not before a shared configuration is known, and not once a planned stop or
@@ -107,7 +107,7 @@
         """Return the answer of a submission, from its home."""
         home = self._ticket_home(submission.submission_id)
         if home is None:
-            home = await self._own_id_home(submission)
+            home = await self._claim_home(submission)
         if isinstance(home, Answer):
             if home.outcome is Outcome.PENDING:
                 return await self._ports.wait(submission.submission_id)
@@ -125,7 +125,7 @@
             submit=_to_message(submission),
             hops=hops + 1,
         )
-        wait_s = submission.deadline_s or LONGEST_WAIT_S
+        wait_s = submission.deadline_s or MAX_WAIT_S
         reply = await self._peers.forwards.forward(owner, request, timeout_s=wait_s)
         if reply is None:
             reply = await self._ask_monitors(owner, request, wait_s)
@@ -137,7 +137,7 @@
         self, owner: str, request: peer_pb2.ForwardRequest, wait_s: float
     ) -> peer_pb2.ForwardReply | None:
         """Send a submission to those who can tell whether its home is gone."""
-        if request.hops >= MAX_HOPS or self._peers.hears(owner):
+        if request.hops >= MAX_HOPS or self._peers.exchanges_heartbeats_with(owner):
             return None
         for instance_id in self._peers.monitors_of(owner)[:MONITORS_ASKED]:
             reply = await self._peers.forwards.forward_to(
@@ -242,16 +242,16 @@
             return self._me
         return None
 
-    async def _own_id_home(self, submission: Submission) -> str | Answer:
+    async def _claim_home(self, submission: Submission) -> str | Answer:
         """Claim a caller's own id; an id that becomes ours is opened at once.
 
         The claim goes on when the caller hangs up. Otherwise a claim that
         succeeds unseen would leave an id that nobody may ever open.
         """
         opening = asyncio.create_task(self._claim_and_open(submission))
-        self._openings.add(opening)
-        opening.add_done_callback(self._openings.discard)
-        wait_s = submission.deadline_s or LONGEST_WAIT_S
+        self._claim_tasks.add(opening)
+        opening.add_done_callback(self._claim_tasks.discard)
+        wait_s = submission.deadline_s or MAX_WAIT_S
         done, _ = await asyncio.wait({opening}, timeout=wait_s)
         if not done:
             return _store_unreachable(submission.submission_id)
@@ -264,11 +264,13 @@
             case ClaimMine():
                 left_s = submission.deadline_s - (time.monotonic() - began)
                 if submission.deadline_s:
-                    submission = replace(submission, deadline_s=max(left_s, SHORTEST_S))
+                    submission = replace(
+                        submission, deadline_s=max(left_s, MIN_DEADLINE_S)
+                    )
                 return self._open(submission)
             case ClaimTaken(home=home):
                 if home == self._me:
-                    return self._own_row(submission_id)
+                    return self._answer_own_claim(submission_id)
                 return home
             case ClaimUndetermined():
                 return _store_unreachable(submission_id)
@@ -280,16 +282,16 @@
             return home
         if self._state.submissions.get(submission_id) is not None:
             return self._me
-        found = await self._claims.look_up(submission_id)
+        found = await self._claims.find_home(submission_id)
         match found:
-            case LookUp.ABSENT:
+            case NoClaimReason.ABSENT:
                 return self._state.submissions.forgotten_answer(submission_id)
-            case LookUp.UNKNOWN:
+            case NoClaimReason.UNKNOWN:
                 return _store_unreachable(submission_id)
             case _:
                 return found
 
-    def _own_row(self, submission_id: str) -> str | Answer:
+    def _answer_own_claim(self, submission_id: str) -> str | Answer:
         # The claim is this process's own but the record was dropped: starting
         # the tasks again could run them twice.
         if self._state.submissions.get(submission_id) is not None:
--- a/src/cassiaturn/server/_run.py
+++ b/src/cassiaturn/server/_run.py
@@ -40,7 +40,7 @@
     return code
 
 
-class _End(Enum):
+class _StopReason(Enum):
     """Why an instance stops serving."""
 
     STOP = auto()
@@ -71,27 +71,27 @@
         except OSError as error:
             log_event(Event.LISTEN_FAILED, detail=str(error))
             return EXIT_LISTEN
-        end = await _wait_for_end(instance, broken)
-        if end is _End.BROKEN:
+        reason = await _wait_for_stop(instance, broken)
+        if reason is _StopReason.BROKEN:
             return EXIT_INVARIANT
         await instance.stop()
         await http.close()
         # The last push to a collector that is gone takes its timeout.
         await asyncio.to_thread(instance.metrics.close)
-        if end is _End.STOP:
+        if reason is _StopReason.STOP:
             return EXIT_OK
 
 
-async def _wait_for_end(instance: Instance, broken: asyncio.Event) -> _End:
-    ends_by_task = {
-        asyncio.create_task(broken.wait()): _End.BROKEN,
-        asyncio.create_task(instance.stop_requested.wait()): _End.STOP,
-        asyncio.create_task(instance.superseded.wait()): _End.SUPERSEDED,
+async def _wait_for_stop(instance: Instance, broken: asyncio.Event) -> _StopReason:
+    reasons_by_task = {
+        asyncio.create_task(broken.wait()): _StopReason.BROKEN,
+        asyncio.create_task(instance.stop_requested.wait()): _StopReason.STOP,
+        asyncio.create_task(instance.superseded.wait()): _StopReason.SUPERSEDED,
     }
-    done, _ = await asyncio.wait(ends_by_task, return_when=asyncio.FIRST_COMPLETED)
-    for task in ends_by_task:
+    done, _ = await asyncio.wait(reasons_by_task, return_when=asyncio.FIRST_COMPLETED)
+    for task in reasons_by_task:
         task.cancel()
-    return next(end for task, end in ends_by_task.items() if task in done)
+    return next(reason for task, reason in reasons_by_task.items() if task in done)
 
 
 def _failure_handler(
--- a/src/cassiaturn/server/_successor.py
+++ b/src/cassiaturn/server/_successor.py
@@ -25,7 +25,7 @@
     TellCaller,
     takeover_key,
 )
-from cassiaturn.server._peers import PeerBook
+from cassiaturn.server._peers import PeerManager
 from cassiaturn.services import Conflict, Put, Row, TableService
 from cassiaturn.submission import StoreBudget, Ticket, booted_ms, parse_ticket
 from cassiaturn.targets import fence
@@ -35,7 +35,7 @@
 ABSENT = 0
 """Expected version of a row that must not exist."""
 
-STEP_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Pause between two looks at what a takeover waits for, in seconds."""
 
 TAKEOVER_TIMEOUT_S = 2.0
@@ -44,15 +44,15 @@
 FENCE_TIMEOUT_S = 1.0
 """Longest wait for a target's answer to a fence, in seconds."""
 
-SHORTEST_S = 0.001
+MIN_DEADLINE_S = 0.001
 """Deadline of a submission that is resumed at its very end, in seconds."""
 
-RENEW_MS = 2_000
+FENCE_LEASE_MS = 2_000
 """Lease that each fence gives to the dead home's running tasks. Nobody else
 renews them: without it a task longer than the rest of its lease would be stopped
 while its result is awaited. Well above the time between two fences."""
 
-UNKNOWN_WAIT_S = 1.5
+UNDECIDED_WAIT_S = 1.5
 """How long a caller waits for fences that may still settle its answer."""
 
 _ROWS = TypeAdapter(TakeoverRow)
@@ -67,7 +67,7 @@
         table: TakeoverTable,
         store: TableService | None,
         budget: StoreBudget,
-        peers: PeerBook,
+        peers: PeerManager,
         addresses_by_target: Callable[[], Mapping[str, Address]],
         incarnation: str,
         max_clock_skew_ms: int,
@@ -87,8 +87,8 @@
         self._me = incarnation
         self._max_clock_skew_ms = max_clock_skew_ms
         self._ticket_valid_ms = ticket_valid_ms
-        self._shortest_memory_ms = ticket_valid_ms
-        self._done: set[str] = set()
+        self._min_retention_ms = ticket_valid_ms
+        self._logged_done: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def owner_of(self, home: str) -> str | None:
@@ -97,22 +97,22 @@
         :returns: the home itself while it may live, its successor, this
             instance, or None while nobody can be said to.
         """
-        give_up = time.monotonic() + TAKEOVER_TIMEOUT_S
+        give_up_at = time.monotonic() + TAKEOVER_TIMEOUT_S
         while True:
             last = self._table.lineage_of(home)[-1]
             if last == self._me:
                 return self._me
-            self._peers.note_unknown(last)
+            self._peers.mark_ended_if_replaced(last)
             if not self._peers.is_gone(last):
                 return last
             takeover = self._table.want(last)
             if takeover.phase is TakeoverPhase.FENCING:
                 self._table.adopt_line(home)
                 return self._me
-            if time.monotonic() >= give_up:
+            if time.monotonic() >= give_up_at:
                 return None
             self._start(self._step())
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def resume(
         self, home: str, submission: Submission, *, repeatable: bool
@@ -122,8 +122,8 @@
         :returns: the answer, or the submission with what is to be adopted.
         """
         self._table.adopt_line(home)
-        give_up = time.monotonic() + UNKNOWN_WAIT_S
-        deadline = time.monotonic() + (submission.deadline_s or UNKNOWN_WAIT_S)
+        give_up_at = time.monotonic() + UNDECIDED_WAIT_S
+        deadline = time.monotonic() + (submission.deadline_s or UNDECIDED_WAIT_S)
         while True:
             now = time.monotonic()
             decision = self._table.decide_submission(
@@ -133,21 +133,21 @@
                 repeatable=repeatable,
                 now=now,
             )
-            if self._is_too_old(home, submission.submission_id):
-                decision = without_denials(decision, submission.submission_id)
+            if self._may_be_forgotten(home, submission.submission_id):
+                decision = without_negative_evidence(decision, submission.submission_id)
             if isinstance(decision, TellCaller):
-                if decision.answer.outcome is not Outcome.UNKNOWN or now >= give_up:
+                if decision.answer.outcome is not Outcome.UNKNOWN or now >= give_up_at:
                     return decision.answer
             else:
                 decisions = decision.decisions_by_index
                 if not any(isinstance(d, AwaitRunning) for d in decisions.values()):
-                    left_s = max(deadline - now, SHORTEST_S)
+                    left_s = max(deadline - now, MIN_DEADLINE_S)
                     return _resumed(submission, decisions, left_s)
                 if now >= deadline:
                     # Passed on, a task that still runs would be started again.
                     return _still_running(submission)
             self._start(self._step())
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def collect(self, home: str, submission_id: str) -> Answer:
         """Return what is known of a dead home's submission without its tasks."""
@@ -170,7 +170,7 @@
                 self._budget.failed(time.monotonic())
                 return None
 
-    def proved_dead(self, dead: str, now: float) -> None:
+    def mark_dead(self, dead: str, now: float) -> None:
         """Note that the process of an incarnation has certainly ended."""
         self._table.proved_dead(dead, now)
 
@@ -184,7 +184,7 @@
     def _insert_due(self, now: float) -> None:
         takeovers = self._table.takeovers_by_dead.values()
         # Asked first: the budget's right to a write is spent once it is given.
-        if not any(one.phase is TakeoverPhase.WANTED for one in takeovers):
+        if not any(takeover.phase is TakeoverPhase.WANTED for takeover in takeovers):
             return
         if self._store is not None and self._budget.may_write(now):
             for row in self._table.rows_due():
@@ -204,12 +204,12 @@
                 log_event(Event.TAKEOVER_STARTED, incarnation=row.dead)
             case Failure(Conflict(rows_by_key=rows_by_key)):
                 self._budget.succeeded(now)
-                self._found(row, rows_by_key.get(row.key))
+                self._on_row_exists(row, rows_by_key.get(row.key))
             case Failure(_):
                 self._budget.failed(now)
                 self._table.row_lost(row.dead)
 
-    def _found(self, wanted: TakeoverRow, row: Row | None) -> None:
+    def _on_row_exists(self, wanted: TakeoverRow, row: Row | None) -> None:
         if row is None:
             self._table.row_lost(wanted.dead)
             return
@@ -226,39 +226,37 @@
             address=address,
             home=due.dead,
             timeout_s=FENCE_TIMEOUT_S,
-            lease_ms=RENEW_MS,
+            lease_ms=FENCE_LEASE_MS,
         )
         now = time.monotonic()
         match result:
             case Success(reply):
-                self._shortest_memory_ms = min(
-                    self._shortest_memory_ms, reply.remembers_ms
-                )
+                self._min_retention_ms = min(self._min_retention_ms, reply.remembers_ms)
                 report = FenceReport.from_message(reply)
-                if not self._vouches(reply.uptime_ms, due.dead):
+                if not self._knows_all_starts_of(reply.uptime_ms, due.dead):
                     report = replace(report, exhaustive=False)
                 self._table.fenced(due.dead, report, now)
                 self._log_done(due.dead)
             case _:
                 self._table.fence_failed(due.dead, due.target_id, now)
 
-    def _is_too_old(self, home: str, submission_id: str) -> bool:
+    def _may_be_forgotten(self, home: str, submission_id: str) -> bool:
         # Targets forget the keys of acknowledged tasks after a time. A ticket
         # older than that may have run and been forgotten, so that no denial
         # proves anything; of an id without a ticket the home's age is the bound.
         ticket = parse_ticket(submission_id)
         issued_ms = ticket.issued_ms if isinstance(ticket, Ticket) else 0
         age_ms = time.time() * MILLISECONDS - booted_ms(home) - issued_ms
-        return age_ms + self._max_clock_skew_ms > self._shortest_memory_ms
+        return age_ms + self._max_clock_skew_ms > self._min_retention_ms
 
     def _log_done(self, dead: str) -> None:
         takeover = self._table.takeovers_by_dead.get(dead)
-        if takeover is None or not takeover.is_complete or dead in self._done:
+        if takeover is None or not takeover.is_complete or dead in self._logged_done:
             return
-        self._done.add(dead)
+        self._logged_done.add(dead)
         log_event(Event.TAKEOVER_DONE, incarnation=dead)
 
-    def _vouches(self, uptime_ms: int, dead: str) -> bool:
+    def _knows_all_starts_of(self, uptime_ms: int, dead: str) -> bool:
         # A runner that was restarted knows nothing of what its earlier process
         # began. Taken at its word, a task that ran there would be called "not
         # run". So it must be older than the home, by more than clocks differ.
@@ -271,7 +269,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def without_denials(
+def without_negative_evidence(
     decision: SubmissionDecision, submission_id: str
 ) -> SubmissionDecision:
     """Return a decision that rests on what ran, and on nobody's denial.
--- a/src/cassiaturn/server/_targets.py
+++ b/src/cassiaturn/server/_targets.py
@@ -12,11 +12,11 @@
 from cassiaturn.targets import RunnerSession, SessionCallbacks
 from cassiaturn.v1 import runner_pb2
 
-NOT_COUNTED = 1 << 40
+UNLIMITED_CAPACITY = 1 << 40
 """Capacity of a worker whose settings give none."""
 
 
-class TargetBook:
+class TargetManager:
     """Opens a stream to each held target and closes those given up.
 
     A target that is given up keeps its stream until its last task has ended, so
@@ -35,13 +35,13 @@
         self._incarnations_by_target: dict[str, str] = {}
         self._released: set[str] = set()
         self._drained: set[str] = set()
-        self._drained_by_all: frozenset[str] = frozenset()
-        self._told_leaving: set[str] = set()
+        self._drained_by_configuration: frozenset[str] = frozenset()
+        self._reported_leaving: set[str] = set()
         self._listed_leaving: set[str] = set()
         self._closing: set[asyncio.Task[None]] = set()
         self.sessions_by_target: dict[str, RunnerSession] = {}
 
-    def know(self, targets: Iterable[TargetSettings]) -> None:
+    def update_targets(self, targets: Iterable[TargetSettings]) -> None:
         """Add targets, or take their present addresses."""
         for target in targets:
             self._settings_by_target[target.target_id] = target
@@ -71,13 +71,13 @@
             self._drained.add(target_id)
         self._set_leaving(target_id)
 
-    def drain_shared(self, target_ids: Collection[str]) -> None:
+    def set_drained_by_configuration(self, target_ids: Collection[str]) -> None:
         """Take the targets that the shared configuration drains."""
-        self._drained_by_all = frozenset(target_ids)
+        self._drained_by_configuration = frozenset(target_ids)
         for target_id in self._state.targets_by_id:
             self._set_leaving(target_id)
 
-    def note_leaving(self, target_id: str, *, leaving: bool) -> None:
+    def set_listed_leaving(self, target_id: str, *, leaving: bool) -> None:
         """Take what the platform's list says of a target's host."""
         if leaving:
             self._listed_leaving.add(target_id)
@@ -137,8 +137,8 @@
             row.leaving = (
                 target_id in self._released
                 or target_id in self._drained
-                or target_id in self._drained_by_all
-                or target_id in self._told_leaving
+                or target_id in self._drained_by_configuration
+                or target_id in self._reported_leaving
                 or target_id in self._listed_leaving
             )
 
@@ -167,17 +167,17 @@
         # Only frames with a status say that a target is not leaving; in a frame
         # of results alone the field is absent.
         if frame.leaving or frame.HasField("usage") or frame.HasField("welcome"):
-            self._take_leaving(target_id, frame.leaving)
+            self._update_reported_leaving(target_id, frame.leaving)
         dispatch(state, now)
 
-    def _take_leaving(self, target_id: str, leaving: bool) -> None:
-        if leaving == (target_id in self._told_leaving):
+    def _update_reported_leaving(self, target_id: str, leaving: bool) -> None:
+        if leaving == (target_id in self._reported_leaving):
             return
         if leaving:
-            self._told_leaving.add(target_id)
+            self._reported_leaving.add(target_id)
             log_event(Event.TARGET_LEAVING, target_id=target_id)
         else:
-            self._told_leaving.discard(target_id)
+            self._reported_leaving.discard(target_id)
         self._set_leaving(target_id)
 
     def _on_lost(self, target_id: str) -> None:
@@ -196,9 +196,9 @@
         slots=settings.slots,
         connections=settings.connections,
         capacity=Resources(
-            cpu_millis=resources.cpu_millis or NOT_COUNTED,
-            memory_mib=resources.memory_mib or NOT_COUNTED,
-            accelerators=resources.accelerators or NOT_COUNTED,
+            cpu_millis=resources.cpu_millis or UNLIMITED_CAPACITY,
+            memory_mib=resources.memory_mib or UNLIMITED_CAPACITY,
+            accelerators=resources.accelerators or UNLIMITED_CAPACITY,
         ),
         methods=None if settings.methods is None else frozenset(settings.methods),
         connected=False,
--- a/src/cassiaturn/server/tests/fleet.py
+++ b/src/cassiaturn/server/tests/fleet.py
@@ -40,8 +40,8 @@
 CHECK = "kwabena.v1.Props/CheckAvailability"
 ORDER = "kwabena.v1.Props/OrderDeck"
 TENANT = "kwabena"
-STEP_S = 0.02
-PATIENCE_S = 15.0
+POLL_INTERVAL_S = 0.02
+TIMEOUT_S = 15.0
 CONFIGURATION = "tenants:\n  - {name: kwabena, quota_slots: 1000}\n"
 TIMINGS = TimingSettings(
     heartbeat_ms=200,
@@ -55,9 +55,9 @@
 
 async def eventually(is_true: Callable[[], bool]) -> None:
     """Wait until something holds; fail if it does not within the patience."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not is_true():  # noqa: ASYNC110 - several tables decide together
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def availability(prop_id: str) -> bytes:
@@ -135,7 +135,7 @@
         self.instances[index : index + 1] = [instance]
         return instance
 
-    async def start_unlinked(self, index: int) -> Instance:
+    async def restart(self, index: int) -> Instance:
         """Replace an instance by a new incarnation that no peer has heard."""
         await self.kill(index)
         return await self.start(index)
@@ -249,7 +249,7 @@
 
 
 async def ticket_of(client: Client, fleet: Fleet, index: int) -> str:
-    ticket = await client.ticket(address=fleet.addresses[index], timeout_s=PATIENCE_S)
+    ticket = await client.ticket(address=fleet.addresses[index], timeout_s=TIMEOUT_S)
     assert ticket is not None
     return ticket.submission_id
 
--- a/src/cassiaturn/server/tests/test_store_failures.py
+++ b/src/cassiaturn/server/tests/test_store_failures.py
@@ -10,7 +10,7 @@
 from cassiaturn.configuration import load_content, propose
 from cassiaturn.entities import Outcome, Reason
 from cassiaturn.server._claims import wall_ms
-from cassiaturn.server._homes import Identity
+from cassiaturn.server._router import Identity
 from cassiaturn.server.tests.fleet import (
     CHECK,
     DECKS,
@@ -114,7 +114,7 @@
         whole = await client.collect(ticket)
         assert whole.results == first.results, whole
         stranger = Identity(tenant="guild", caller="x")
-        told = await home.homes.collect(ticket, stranger)
+        told = await home.router.collect(ticket, stranger)
         assert told.outcome is Outcome.UNKNOWN
         assert not told.results
 
--- a/src/cassiaturn/server/tests/test_successors.py
+++ b/src/cassiaturn/server/tests/test_successors.py
@@ -122,10 +122,10 @@
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         peers = fleet.instances[1].peers
-        younger = await fleet.start_unlinked(0)
-        peers.note_unknown(younger.incarnation)
+        younger = await fleet.restart(0)
+        peers.mark_ended_if_replaced(younger.incarnation)
         assert not peers.is_gone(younger.incarnation)
-        ticket = younger.homes.issue_ticket()
+        ticket = younger.router.issue_ticket()
         answer = await submit(client, fleet, ticket, DECKS, index=1)
         assert answer.outcome is Outcome.COMPLETE
         assert not younger.superseded.is_set()
@@ -153,8 +153,8 @@
         )
         assert answer.outcome is Outcome.UNKNOWN
         assert home.superseded.is_set()
-        late = home.homes.issue_ticket()
-        again = await home.homes.submit(
+        late = home.router.issue_ticket()
+        again = await home.router.submit(
             Submission(
                 submission_id=late,
                 tenant="kwabena",
@@ -206,10 +206,10 @@
     async with fleet_with(platform, tmp_path) as fleet:
         home, other = fleet.instances[0], fleet.instances[1]
 
-        async def stand_still(*_: object, **__: object) -> None:
+        async def wait_forever(*_: object, **__: object) -> None:
             await asyncio.Event().wait()
 
-        monkeypatch.setattr(home.homes, "submit", stand_still)
+        monkeypatch.setattr(home.router, "submit", wait_forever)
         request = peer_pb2.ForwardRequest(
             tenant="kwabena",
             submit=dispatcher_pb2.SubmitRequest(submission_id="x", method=ORDER),
@@ -230,6 +230,6 @@
 
         calls = [asyncio.create_task(ask_twice()), asyncio.create_task(ask())]
         await asyncio.sleep(0.2)
-        other.peers.forwards.give_up(home.incarnation)
+        other.peers.forwards.cancel_calls(home.incarnation)
         async with asyncio.timeout(5):
             await asyncio.gather(*calls)
