--- a/src/cassiaturn/server/__init__.py
+++ b/src/cassiaturn/server/__init__.py
@@ -1,4 +1,4 @@
-"""The process of an instance: streams, calls and loops around the engine."""
+"""The server process of an instance: its streams, gRPC calls and background tasks."""
 
 from cassiaturn.server._instance import Instance
 from cassiaturn.server._run import run
--- a/src/cassiaturn/server/_caller_service.py
+++ b/src/cassiaturn/server/_caller_service.py
@@ -1,4 +1,4 @@
-"""The callers' interface on an instance."""
+"""The gRPC services that callers use on an instance."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import TypeVar
@@ -22,27 +22,30 @@
 ReplyT = TypeVar("ReplyT")
 
 MAX_TICKETS = 1000
-"""Tickets of one call."""
+"""Most tickets issued by one call."""
 
 STATUS_BY_OUTCOME = {
     Outcome.FAILED: Status.ABORTED,
     Outcome.NOT_RUN: Status.UNAVAILABLE,
     Outcome.UNKNOWN: Status.UNKNOWN,
 }
-"""Status of a call through an operator's own stub."""
+"""gRPC status by outcome, for calls of a method of an operator's schema."""
 
 
 class CallerService(DispatcherBase):
-    """Submissions, collection, cancellation and tickets."""
+    """Issues tickets; accepts, watches, collects and cancels submissions."""
 
     def __init__(self, *, router: SubmissionRouter) -> None:
-        """Serve from one instance."""
+        """Create the service of one instance."""
         self._router = router
 
     async def IssueTickets(  # noqa: N802 - the name is the schema's
         self, stream: "Stream[pb.IssueTicketsRequest, pb.IssueTicketsReply]"
     ) -> None:
-        """Issue ids that name this instance as home, without a store write."""
+        """Issue submission ids that name this instance as home.
+
+        Tickets need no write to the table service.
+        """
         request = await _receive(stream)
         if not self._router.accepts_submissions:
             raise GRPCError(Status.UNAVAILABLE, "this instance is not ready")
@@ -71,7 +74,7 @@
     async def Watch(  # noqa: N802
         self, stream: "Stream[pb.CollectRequest, pb.JobEvent]"
     ) -> None:
-        """Stream progress, then the answer."""
+        """Stream progress events, then the final answer."""
         request = await _receive(stream)
         async for event in self._router.watch(
             request.submission_id, identity_of(stream)
@@ -89,7 +92,7 @@
     async def Cancel(  # noqa: N802
         self, stream: "Stream[pb.CancelRequest, pb.CancelReply]"
     ) -> None:
-        """Cancel a submission that is not settled."""
+        """Cancel a submission that is not settled yet."""
         request = await _receive(stream)
         cancelled, answer = await self._router.cancel(
             request.submission_id, identity_of(stream)
@@ -100,16 +103,16 @@
 
 
 class SchemaService:
-    """Every method of the operators' schemas, as an ordinary gRPC service.
+    """Serves every method of the operators' schemas as an ordinary gRPC method.
 
-    A call becomes a submission of one task, so a caller uses the stub that was
-    generated from its own schema.
+    Each call becomes a submission of one task, so a caller can use the stub that
+    was generated from its own schema.
     """
 
     def __init__(
         self, *, router: SubmissionRouter, methods: Mapping[str, object]
     ) -> None:
-        """Serve the methods of a schema.
+        """Create a service for the methods of a schema.
 
         :param methods: declared methods by full name.
         """
@@ -117,7 +120,7 @@
         self._methods = methods
 
     def __mapping__(self) -> Mapping[str, grpclib.const.Handler]:
-        """Return one handler a method, as grpclib expects."""
+        """Return one handler per method, as grpclib expects."""
         return {
             f"/{name}": grpclib.const.Handler(
                 self._handler(name),
@@ -164,7 +167,7 @@
 
 
 def identity_of(stream: "Stream[MessageT, ReplyT]") -> Identity:
-    """Return who calls, from the call metadata.
+    """Return the caller's identity from the call metadata.
 
     :raises GRPCError: the call names no tenant.
     """
@@ -178,7 +181,7 @@
 
 
 def to_submission(request: pb.SubmitRequest, identity: Identity) -> Submission:
-    """Return the submission that a message asks for."""
+    """Return the submission that a request describes."""
     return Submission(
         submission_id=request.submission_id,
         tenant=identity.tenant,
--- a/src/cassiaturn/server/_claims.py
+++ b/src/cassiaturn/server/_claims.py
@@ -1,4 +1,4 @@
-"""Writes the claims of callers' own ids to the table service, in groups."""
+"""Writes claims of caller-chosen submission ids to the table service in batches."""
 
 import asyncio
 import random
@@ -24,33 +24,33 @@
 )
 
 WAIT_S = 0.01
-"""Pause while the budget or a backoff allows no operation, in seconds."""
+"""Pause while the store budget or a backoff allows no operation, in seconds."""
 
 SWEEP_S = 60.0
-"""Mean time between two pages of the search for old claims: 6 reads a second at
-350 instances."""
+"""Mean time between page reads of the scan for expired claims, in seconds; 350
+instances make 6 reads a second."""
 
 PAGE_ROWS = 200
-"""Rows of one page."""
+"""Rows per page of the scan for expired claims."""
 
 ABSENT = 0
-"""Expected version of a row that must not exist."""
+"""Expected version of a row that must not exist yet."""
 
 _ROWS = TypeAdapter(ClaimRow)
 
 
 class NoClaimReason(Enum):
-    """Why no home is known for a caller's own id."""
+    """Why no home is known for a caller-chosen id."""
 
     ABSENT = auto()
-    """The table holds no claim of it."""
+    """The table holds no claim of the id."""
 
     UNKNOWN = auto()
-    """The table did not answer, or may not be asked now."""
+    """The table did not answer, or the budget allows no read now."""
 
 
 class ClaimWriter:
-    """Runs the ledger of claims against the table service."""
+    """Executes the operations of the claim ledger on the table service."""
 
     def __init__(
         self,
@@ -61,10 +61,10 @@
         retention_ms: int,
         rng: random.Random,
     ) -> None:
-        """Write for one instance.
+        """Create the writer of one instance.
 
-        :param table: None where the settings name no table service; no id of a
-            caller's own can be claimed then.
+        :param table: None if the settings name no table service; caller-chosen
+            ids cannot be claimed then.
         :param retention_ms: how long a claim row is kept, in milliseconds.
         :param rng: source of the jitter.
         """
@@ -77,7 +77,7 @@
         self._wake = asyncio.Event()
 
     async def claim(self, submission_id: str) -> ClaimResolution:
-        """Return whose an id is, claiming it if it is nobody's."""
+        """Return the owner of an id, claiming the id if it has none."""
         if self._table is None:
             return ClaimUndetermined(submission_id=submission_id)
         future = self._futures_by_id.get(submission_id)
@@ -88,15 +88,16 @@
             future = asyncio.get_running_loop().create_future()
             self._futures_by_id[submission_id] = future
             self._wake.set()
-        # A caller that hangs up must not cancel the claim for those who wait too.
+        # A caller that hangs up must not cancel the claim for other waiting callers.
         return await asyncio.shield(future)
 
     async def delete_old(self) -> None:
-        """Delete claims that are past their retention, page by page, for ever.
+        """Delete expired claims page by page until cancelled.
 
-        Rows of homes that are gone have nobody else to delete them. A row is
-        deleted only in the version that was read, so of two instances that find
-        the same page one is told of a conflict and goes on.
+        Every instance deletes the rows of any home, because a home that is gone
+        cannot delete its own. A row is deleted only in the version that was read,
+        so if two instances process the same page, one of them gets a conflict and
+        goes on.
         """
         after = ""
         while self._table is not None:
@@ -124,7 +125,7 @@
                 return ()
 
     async def find_home(self, submission_id: str) -> str | NoClaimReason:
-        """Return the home in the claim row of an id, or why there is none."""
+        """Return the home in the claim row of an id, or why none is known."""
         if self._table is None or not self._budget.may_read(time.monotonic()):
             return NoClaimReason.UNKNOWN
         key = claim_key(submission_id)
@@ -184,8 +185,8 @@
                 self._budget.succeeded(now)
                 self._ledger.conflicted(batch, claims_of(rows_by_key.values()))
             case Failure(_):
-                # Whatever the error says, the rows may have been written: a
-                # refusal taken at its word could leave a claim that nobody owns.
+                # The rows may have been written whatever the error says. Treating
+                # them as not written could leave a claim that nobody owns.
                 self._budget.failed(now)
                 self._ledger.lost(batch, now)
 
@@ -203,7 +204,7 @@
 
 
 def wall_ms() -> int:
-    """Return the wall clock, in milliseconds."""
+    """Return the wall-clock time in milliseconds since the epoch."""
     return time.time_ns() // 1_000_000
 
 
@@ -213,9 +214,9 @@
 
 
 def claims_of(rows: Iterable[Row]) -> dict[str, ClaimRow]:
-    """Return the claims in rows of the table, by submission id.
+    """Return the claims in table rows, by submission id.
 
-    A row that cannot be read is left out: its id stays undetermined.
+    Rows that cannot be parsed are left out, so their ids stay undetermined.
     """
     claims: dict[str, ClaimRow] = {}
     for row in rows:
--- a/src/cassiaturn/server/_forwards.py
+++ b/src/cassiaturn/server/_forwards.py
@@ -1,4 +1,4 @@
-"""Calls that are passed on to the instance that can answer them."""
+"""Forwards calls to the instance that can answer them."""
 
 import asyncio
 import time
@@ -13,19 +13,19 @@
 from cassiaturn.v1.peer_grpc import PeerStub
 
 FORWARD_ERRORS = (OSError, GRPCError, StreamTerminatedError, TimeoutError)
-"""What a forwarded call raises when the other instance is lost."""
+"""Exceptions of a forwarded call when the other instance is lost."""
 
 FORWARD_GRACE_S = 0.5
-"""Time beyond a caller's deadline in which the home's answer is awaited."""
+"""Extra wait for the home's answer past the caller's deadline, in seconds."""
 
 
 class Forwards:
-    """Connections to other instances for single calls, apart from the links."""
+    """Connections to other instances for single calls, separate from the links."""
 
     def __init__(self, *, membership: MembershipTable) -> None:
         """Start without connections.
 
-        :param membership: told of each instance whose connection breaks.
+        :param membership: notified of each instance whose connection breaks.
         """
         self._membership = membership
         self._addresses_by_instance: dict[str, Address] = {}
@@ -35,7 +35,7 @@
         ] = {}
 
     def set_address(self, instance_id: str, address: Address) -> None:
-        """Take an instance's present address; a connection to another is closed."""
+        """Set an instance's address and close the connection to the earlier one."""
         self._addresses_by_instance[instance_id] = address
         channel = self._channels_by_instance.pop(instance_id, None)
         if channel is not None:
@@ -49,7 +49,7 @@
     async def forward(
         self, incarnation: str, request: peer_pb2.ForwardRequest, *, timeout_s: float
     ) -> peer_pb2.ForwardReply | None:
-        """Return the reply of another instance; None if it was not had."""
+        """Return the reply of another incarnation; None if there was none."""
         return await self.forward_to(
             instance_of(incarnation) or "", incarnation, request, timeout_s=timeout_s
         )
@@ -62,9 +62,9 @@
         *,
         timeout_s: float,
     ) -> peer_pb2.ForwardReply | None:
-        """Return the reply of an instance; None if it was not had.
+        """Return the reply of an instance; None if there was none.
 
-        :param incarnation: the call ends when this one is given up.
+        :param incarnation: :meth:`cancel_calls` of this incarnation ends the call.
         """
         channel = self._channel_to(instance_id)
         if channel is None:
@@ -80,8 +80,8 @@
             self._membership.disconnected(incarnation, time.monotonic())
             return None
         except asyncio.CancelledError:
-            # Either the caller hung up, which cancels this task, or the other
-            # instance was given up, which cancels the call alone.
+            # A caller that hung up cancels this task; `cancel_calls` cancels the
+            # inner call alone, which counts as no reply.
             task = asyncio.current_task()
             if task is not None and not task.cancelling():
                 return None
@@ -91,8 +91,8 @@
             calls.discard(call)
 
     def cancel_calls(self, incarnation: str) -> None:
-        # A stopped process keeps its connections open: its callers would wait
-        # until their deadlines although a successor can answer by now.
+        # A stopped process keeps its connections open: without this, callers would
+        # wait until their deadlines although a successor can already answer.
         for call in self._calls_by_incarnation.pop(incarnation, set()):
             call.cancel()
 
--- a/src/cassiaturn/server/_holders.py
+++ b/src/cassiaturn/server/_holders.py
@@ -1,4 +1,4 @@
-"""Which targets this instance holds, from the members that it knows."""
+"""Decides which targets this instance holds, from the members that it knows."""
 
 from collections.abc import Collection, Iterable
 
@@ -11,9 +11,10 @@
 ) -> Collection[str]:
     """Return the targets that this instance holds now.
 
-    Targets of a failure domain are shared by its live instances. A domain that
-    has lost all of them is served by the live instances of the other domains,
-    which costs a longer way and keeps its targets at work.
+    The targets of a failure domain are divided among its live instances. The
+    targets of a domain without a live instance are divided among the live
+    instances of all domains: starts cross domains then, but the targets stay in
+    use.
     """
     targets_by_domain: dict[str, list[str]] = {}
     for target in targets:
--- a/src/cassiaturn/server/_hosts.py
+++ b/src/cassiaturn/server/_hosts.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of hosts, which names new instances and leavers."""
+"""Polls the platform's host list for new instances and leaving hosts."""
 
 import asyncio
 import random
@@ -12,12 +12,15 @@
 from cassiaturn.services import Host, HostList, HostState
 
 JITTER = 0.25
-"""Share of the period by which a read may come earlier or later, so that
-instances which started together do not read together."""
+"""Fraction of the period by which a read may be early or late, so that instances
+which started together do not read at the same time."""
 
 
 class HostListReader:
-    """Passes the list on as hints; it lags, so it removes nobody."""
+    """Passes the host list on as hints.
+
+    The list lags behind, so an instance that it does not name is not removed.
+    """
 
     def __init__(
         self,
@@ -29,7 +32,11 @@
         targets: TargetManager,
         rng: random.Random,
     ) -> None:
-        """Read for one instance; None: the settings name no list."""
+        """Create the reader of one instance.
+
+        :param hosts: None if the settings name no host list.
+        :param period_s: mean time between two reads, in seconds.
+        """
         self._hosts = hosts
         self._period_s = period_s
         self._membership = membership
@@ -38,7 +45,7 @@
         self._rng = rng
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Poll the list until cancelled."""
         if self._hosts is None:
             return
         while True:
@@ -46,7 +53,7 @@
                 case Success(hosts):
                     self._apply(hosts)
                 case _:
-                    # What is known stays: an outage of the list moves nothing.
+                    # Keep the last known list: its outage must not change anything.
                     pass
             factor = self._rng.uniform(1 - JITTER, 1 + JITTER)
             await asyncio.sleep(self._period_s * factor)
--- a/src/cassiaturn/server/_instance.py
+++ b/src/cassiaturn/server/_instance.py
@@ -1,4 +1,4 @@
-"""One instance: its tables, its streams and what runs beside them."""
+"""Runs one instance: starts, drains and closes its parts and background tasks."""
 
 import asyncio
 import contextlib
@@ -42,37 +42,39 @@
     MemberState.STARTING: "no shared configuration yet",
     MemberState.LEAVING: "a planned stop is under way",
 }
-"""Why an instance takes nothing new, by its state."""
+"""Why an instance accepts no submissions, by its state."""
 
 LEAVING_NOTICE_S = 0.2
-"""Time for peers to hear that we leave before our listening port closes."""
+"""Time for peers to learn that this instance leaves before its listening port
+closes, in seconds."""
 
 OVERLOAD_END_S = 5.0
-"""Time without a refusal after which an overload is over, in seconds."""
+"""Time without a refusal after which an overload has ended, in seconds."""
 
 CLOSE_TIMEOUT_S = 1.0
-"""Longest wait for the listening port and its connections, in seconds."""
+"""Longest wait for background tasks, or for open connections, to end, in seconds."""
 
 LAST_ANSWERS_S = 0.1
-"""Time for the last answers to leave before the connections close, in seconds."""
+"""Time to send the last answers before the connections close, in seconds."""
 
 DRAIN_POLL_S = 0.02
-"""Pause between two looks at whether everything has ended, in seconds."""
+"""Interval between checks whether all work has ended, in seconds."""
 
 HOLDERS_PERIOD_S = 1.0
-"""Longest time until a changed list of targets is shared out anew, in seconds."""
+"""Longest time until a changed list of targets is distributed, in seconds."""
 
 QUOTA_PERIOD_S = 0.5
-"""Period in which a tenant's quota is split anew: twice a heartbeat."""
+"""Interval between recalculations of this instance's share of each tenant's quota,
+in seconds; twice per heartbeat."""
 
 
 class Instance(InstanceBase):
-    """A running instance; :meth:`start` it, then :meth:`stop` it."""
+    """An instance of the dispatcher; call :meth:`start`, later :meth:`stop`."""
 
     async def start(self) -> None:
-        """Open the ports and begin to serve.
+        """Open the listening port and begin to serve.
 
-        :raises OSError: the port is taken or not ours.
+        :raises OSError: the port is in use or may not be opened.
         """
         handlers: list[IServable] = [
             CallerService(router=self.router),
@@ -99,12 +101,15 @@
         self._run(self.claims.delete_old())
 
     async def stop(self) -> None:
-        """Stop without cutting anything: drain, tell the peers, close."""
+        """Stop gracefully: announce it to the peers, drain, then close."""
         await self.drain()
         await self.close()
 
     async def drain(self) -> None:
-        """Take nothing new and wait until everything in flight has ended."""
+        """Accept nothing new and wait until everything in flight has ended.
+
+        The wait is limited by the drain timeout of the settings.
+        """
         log_event(Event.INSTANCE_DRAINING, incarnation=self.incarnation)
         reason = REASONS_NOT_READY[MemberState.LEAVING]
         log_event(Event.INSTANCE_NOT_READY, reason=reason)
@@ -117,14 +122,14 @@
         give_up_at = time.monotonic() + limit_s
         await asyncio.sleep(LEAVING_NOTICE_S)
         while self._has_open_work() and time.monotonic() < give_up_at:  # noqa: ASYNC110
-            # Several tables have to be empty at once, so no single event tells.
+            # Several tables have to be empty at once, so no single event signals it.
             await asyncio.sleep(DRAIN_POLL_S)
         await asyncio.sleep(LAST_ANSWERS_S)
         if self._has_open_work():
             log_event(Event.DRAIN_TIMED_OUT, open=len(self.state.jobs_by_id))
 
     async def close(self) -> None:
-        """Close every stream and port."""
+        """Close every stream, connection and port without draining."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -135,20 +140,20 @@
         self.platform.close()
         if self._server is not None:
             self._server.end_connections()
-            # Callers keep connections open that nobody uses any more; the loop's
-            # own wait would last until the last of them closes his.
+            # Callers keep idle connections open; without a timeout, the wait would
+            # last until the last caller closes its connection.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CLOSE_TIMEOUT_S):
                     await self._server.wait_closed()
 
     def ready(self) -> Ready:
-        """Return whether new submissions are taken, and why not."""
+        """Return whether new submissions are accepted, and the reason if not."""
         if self.member_state is MemberState.READY:
             return Ready(ready=True)
         return Ready(ready=False, reason=REASONS_NOT_READY[self.member_state])
 
     def status(self) -> StatusDocument:
-        """Return everything that this instance says of itself."""
+        """Return the status document of this instance."""
         return status_of(self)
 
     async def _run_ticks(self) -> None:
@@ -206,8 +211,8 @@
             self.state.starts_held = not self.pauses.may_start
 
     def _hold_targets(self) -> None:
-        # The shares of all targets are worked out again only when something may
-        # have changed: at 1,400 targets it takes longer than a tick.
+        # Recalculated only when something may have changed: with 1,400 targets the
+        # calculation takes longer than a tick.
         now = time.monotonic()
         if self.member_state is MemberState.STARTING or now < self._holders_due_at:
             return
@@ -279,11 +284,11 @@
 
 
 def _report_failure(task: "asyncio.Task[None]") -> None:
-    # A loop that ends unseen would leave an instance that answers and does
-    # nothing; a broken invariant has to stop the process instead.
+    # If a background task ended unnoticed, the instance would still answer calls
+    # but do no work. Reporting a violated invariant stops the process instead.
     if task.cancelled() or task.exception() is None:
         return
-    failure = InvariantError(f"a loop of the instance ended: {task.exception()!r}")
+    failure = InvariantError(f"a background task ended: {task.exception()!r}")
     asyncio.get_running_loop().call_exception_handler(
         {"message": str(failure), "exception": failure}
     )
--- a/src/cassiaturn/server/_instance_base.py
+++ b/src/cassiaturn/server/_instance_base.py
@@ -1,4 +1,4 @@
-"""What an instance is made of, put together."""
+"""Builds the parts of an instance and connects them."""
 
 import asyncio
 import random
@@ -56,9 +56,9 @@
 
 
 class InstanceBase(ABC):
-    """The tables, streams and loops of one instance, not running yet.
+    """The tables, streams and background jobs of one instance, not running yet.
 
-    :class:`Instance` adds how they run and what they tell each other.
+    :class:`Instance` runs them and handles the events that they report.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
         schema: Schema,
         stop_requested: asyncio.Event | None = None,
     ) -> None:
-        """Build the tables; no connection opens yet.
+        """Build the parts; no connection opens yet.
 
-        :param stop_requested: set when a planned stop is asked for.
+        :param stop_requested: set when a planned stop is requested.
         """
         rng = random.Random()
         boot_ms = int(time.time() * MILLISECONDS)
@@ -118,7 +118,7 @@
         )
 
     def configuration_json(self) -> str:
-        """Return the shared configuration in force, for a peer; empty: none."""
+        """Return the shared configuration in force as JSON; empty if there is none."""
         current = self.configuration.view.current
         return to_json(current) if current is not None else ""
 
@@ -263,7 +263,7 @@
         self.router.fetch_results = self.offloader.fetch
 
     def _addresses_for_peer(self, incarnation: str) -> dict[str, Address]:
-        """Return the targets that another instance may have started tasks at."""
+        """Return the targets at which a peer incarnation may have started tasks."""
         domains = self.peers.domains_by_incarnation.get(incarnation, set())
         return {
             target_id: target.address
@@ -304,16 +304,16 @@
 
     @abstractmethod
     def _on_member_change(self, changes: Sequence[MemberChange]) -> None:
-        """Take the members whose state changed."""
+        """Handle state changes of members."""
 
     @abstractmethod
     def _apply_configuration(self, configuration: SharedConfiguration) -> None:
-        """Put a shared configuration in force."""
+        """Apply a shared configuration."""
 
     @abstractmethod
     def _on_settled(self, answer: Answer, job: Job | None) -> None:
-        """Take an answer that was settled."""
+        """Handle a settled answer; the job is None for a refused submission."""
 
     @abstractmethod
     def _on_superseded(self) -> None:
-        """Take the news that targets fence this incarnation."""
+        """Handle the takeover of this incarnation by a successor."""
--- a/src/cassiaturn/server/_link.py
+++ b/src/cassiaturn/server/_link.py
@@ -1,4 +1,4 @@
-"""One long-lived stream between two instances."""
+"""A long-lived stream of frames between two instances."""
 
 import asyncio
 import time
@@ -17,32 +17,32 @@
 MILLISECONDS = 1000
 
 RECONNECT_PAUSE_S = 0.5
-"""Pause after a link was lost; half a heartbeat period."""
+"""Pause before reconnecting a lost link, in seconds; half a heartbeat period."""
 
 LINK_ERRORS = (OSError, GRPCError, ProtocolError, StreamTerminatedError, TimeoutError)
-"""What the loss of a link raises."""
+"""Exceptions that the loss of a link raises."""
 
 
 class FrameStream(Protocol):
-    """The two ends of a grpclib stream have these in common."""
+    """Methods common to the client and server side of a grpclib stream."""
 
     async def send_message(self, message: PeerFrame) -> None:
         """Send one frame."""
 
     async def recv_message(self) -> PeerFrame | None:
-        """Return the next frame; None at the end."""
+        """Return the next frame; None at the end of the stream."""
 
     def __aiter__(self) -> AsyncIterator[PeerFrame]:
-        """Iterate over the frames."""
+        """Iterate over the received frames."""
 
 
 class Link:
-    """A stream to one incarnation of a peer, whoever opened it."""
+    """A stream to one incarnation of a peer, opened by either side."""
 
     def __init__(self, *, incarnation: str) -> None:
-        """Start with nothing to send.
+        """Start with an empty outbox.
 
-        :param incarnation: the peer's, from its first frame.
+        :param incarnation: the peer's incarnation, from its first frame.
         """
         self.incarnation = incarnation
         self.outbox: Outbox[PeerFrame] = Outbox(make=PeerFrame)
@@ -56,10 +56,11 @@
     def peer_clock(self, now: float) -> int:
         """Return a lower bound of the peer's own clock, in milliseconds.
 
-        The peer stamped its latest frame before it was read here, so the stamp
-        plus the time since never passes the peer's clock. A deadline built on
-        it can only be too early: a frame that waits in the peer's buffer while
-        its process is stopped is then late when it is read.
+        The peer set the timestamp of its latest frame before the frame was read
+        here, so the timestamp plus the time since then never exceeds the peer's
+        clock. A deadline based on it can only be too early: if the peer's process
+        is stopped while a frame waits in its buffer, the peer finds the frame
+        late when it reads it.
         """
         return self._clock_ms + int((now - self._clock_seen_at) * MILLISECONDS)
 
@@ -79,8 +80,8 @@
         """Exchange frames until either side ends or :attr:`closed` is set.
 
         :param first: the peer's first frame, already read.
-        :param before_send: adds what rides on every frame that is sent.
-        :param on_frame: takes each frame received.
+        :param before_send: completes each frame just before it is sent.
+        :param on_frame: called with each received frame, the first included.
         """
 
         async def send(frame: PeerFrame) -> None:
@@ -115,7 +116,7 @@
 
 
 class LinkDialer:
-    """Keeps a link to one peer open, from the instance with the lower id."""
+    """Connects to one peer and reconnects whenever the link is lost."""
 
     def __init__(
         self,
@@ -126,13 +127,14 @@
         on_refused: Callable[[], None],
         connect_timeout_s: float,
     ) -> None:
-        """Prepare to connect; :meth:`run` does.
+        """Create the dialer; :meth:`run` connects.
 
         :param address: where the peer listens.
-        :param first_frame: makes the first frame, a heartbeat.
-        :param serve: runs the link once the peer's first frame is read.
+        :param first_frame: returns the first frame to send, a heartbeat.
+        :param serve: runs the link once the peer's first frame has been read.
         :param on_refused: called when nothing listens at the address.
-        :param connect_timeout_s: longest wait for that frame, in seconds.
+        :param connect_timeout_s: longest wait for the peer's first frame, in
+            seconds.
         """
         self._address = address
         self._first_frame = first_frame
@@ -141,7 +143,7 @@
         self._connect_timeout_s = connect_timeout_s
 
     async def run(self) -> None:
-        """Connect, serve the link, and connect again, until cancelled."""
+        """Connect, serve the link and reconnect, until cancelled."""
         while True:
             channel = Channel(self._address.host, self._address.port)
             try:
@@ -164,5 +166,5 @@
             try:
                 await self._serve(stream, first)
             finally:
-                # The peer's process may be stopped and never read the end.
+                # A stopped peer process would never read the end of the stream.
                 await stream.cancel()
--- a/src/cassiaturn/server/_offload.py
+++ b/src/cassiaturn/server/_offload.py
@@ -1,4 +1,8 @@
-"""Moves results that are too large to keep to the object store, and back."""
+"""Moves large results to the object store and reads them back on request.
+
+Offloading saves the memory that an instance spends on answers it keeps for
+collection.
+"""
 
 import asyncio
 import time
@@ -13,14 +17,14 @@
 from cassiaturn.v1 import dispatcher_pb2
 
 RETRY_PAUSE_S = 1.0
-"""Pause after the object store took nothing, in seconds."""
+"""Pause after a failed write to the object store, in seconds."""
 
 SWEEP_S = 1.0
-"""Time between two looks for objects that are too old, in seconds."""
+"""Interval between checks for expired objects, in seconds."""
 
 
 class Offloader:
-    """Writes what the table of submissions hands out, reads and deletes it."""
+    """Writes results picked by the submission table; reads and deletes them."""
 
     def __init__(
         self,
@@ -29,10 +33,10 @@
         objects: ObjectStore | None,
         retention_s: float,
     ) -> None:
-        """Write for one instance.
+        """Create the offloader of one instance.
 
-        :param objects: None where the settings name no store: results stay in
-            memory.
+        :param objects: object store; None if the settings name none, in which
+            case results stay in memory.
         :param retention_s: how long an object is kept, in seconds.
         """
         self._submissions = submissions
@@ -42,11 +46,11 @@
         self._wake = asyncio.Event()
 
     def wake(self) -> None:
-        """Say that an answer was settled."""
+        """Signal that an answer was settled and may need offloading."""
         self._wake.set()
 
     async def fetch(self, object_key: str) -> Sequence[bytes] | None:
-        """Return results that were moved; None if they cannot be had now."""
+        """Return offloaded results; None if they cannot be read now."""
         if self._objects is None:
             return None
         match await self._objects.get(object_key):
@@ -60,7 +64,7 @@
                 return None
 
     async def run(self) -> None:
-        """Move results until cancelled."""
+        """Offload results and delete expired objects until cancelled."""
         if self._objects is None:
             return
         while True:
--- a/src/cassiaturn/server/_operator_service.py
+++ b/src/cassiaturn/server/_operator_service.py
@@ -1,4 +1,4 @@
-"""The operators' interface on an instance."""
+"""The gRPC service that operators use on an instance."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -14,10 +14,10 @@
 
 
 class OperatorService(OperatorBase):
-    """Status, and drains of targets and of the instance."""
+    """Reports status and drains targets or the whole instance."""
 
     def __init__(self, *, instance: "Instance") -> None:
-        """Serve one instance."""
+        """Create the service of one instance."""
         self._instance = instance
         self._draining: asyncio.Task[None] | None = None
 
@@ -34,7 +34,10 @@
     async def DrainTarget(  # noqa: N802
         self, stream: "Stream[pb.DrainTargetRequest, pb.DrainReply]"
     ) -> None:
-        """Stop or allow new starts at a target that this instance holds."""
+        """Stop or allow new starts at a target.
+
+        The setting takes effect while this instance holds the target.
+        """
         request = await stream.recv_message()
         target_id = request.target_id if request else ""
         targets = self._instance.targets
--- a/src/cassiaturn/server/_peer_service.py
+++ b/src/cassiaturn/server/_peer_service.py
@@ -1,4 +1,4 @@
-"""What instances call on each other."""
+"""The gRPC service that instances call on each other."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class PeerService(PeerBase):
-    """Links, and calls that name this instance as home."""
+    """Serves peer links and calls forwarded to this instance."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         peers: PeerManager,
         configuration: Callable[[], str],
     ) -> None:
-        """Serve from one instance.
+        """Create the service of one instance.
 
         :param configuration: returns the shared configuration in force as JSON.
         """
@@ -45,7 +45,7 @@
     async def Forward(  # noqa: N802
         self, stream: "Stream[pb.ForwardRequest, pb.ForwardReply]"
     ) -> None:
-        """Serve a call that another instance received."""
+        """Serve a caller's call that another instance received and forwarded."""
         request = await stream.recv_message()
         if request is None:
             raise GRPCError(Status.INVALID_ARGUMENT, "the call has no request message")
--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -1,4 +1,4 @@
-"""The other instances: links, heartbeats, forwards, and who is gone."""
+"""Manages the other instances: links, heartbeats, forwarded calls and liveness."""
 
 import asyncio
 import time
@@ -32,16 +32,16 @@
 from cassiaturn.v1 import peer_pb2
 
 FETCH_TIMEOUT_S = 1.0
-"""Longest wait for a peer's shared configuration, in seconds."""
+"""Longest wait for the shared configuration from a peer, in seconds."""
 
 CLOSE_TIMEOUT_S = 1.0
-"""Longest wait for the links to end, in seconds."""
+"""Longest wait for the links to close, in seconds."""
 
 MILLISECONDS = 1000
 
 
 class PeerManager:
-    """Keeps a link to each neighbour and tells the engine what it hears."""
+    """Keeps links to peers and passes the received frames on to the engine."""
 
     def __init__(
         self,
@@ -58,9 +58,11 @@
     ) -> None:
         """Start without links.
 
-        :param own_facts: makes what this instance tells about itself now.
-        :param on_change: takes the changes of every tick that had some.
-        :param full_links: instances up to which all are linked to each other.
+        :param own_facts: returns the present facts about this instance.
+        :param on_change: called with the member changes of each tick that has any.
+        :param connect_timeout_s: longest wait for a peer's first frame, in seconds.
+        :param full_links: largest fleet, in instances, in which each is linked to
+            every other; in larger fleets only neighbours are linked.
         """
         self._state = state
         self._membership = membership
@@ -80,11 +82,11 @@
         for instance_id, address in addresses_by_instance.items():
             self.forwards.set_address(instance_id, address)
         self.domains_by_incarnation: dict[str, set[str]] = {}
-        """Failure domains where an incarnation ever held targets."""
+        """Failure domains in which an incarnation ever held targets."""
         self._ended_incarnations: set[str] = set()
 
     def set_address(self, instance_id: str, address: Address) -> None:
-        """Take an instance's present address."""
+        """Set an instance's address; a link to an earlier address is dialled anew."""
         known = self._addresses_by_instance.get(instance_id)
         is_me = instance_id == self._membership.me.facts.instance_id
         if known == address or is_me:
@@ -96,7 +98,7 @@
         self.forwards.set_address(instance_id, address)
 
     def is_gone(self, incarnation: str) -> bool:
-        """Whether an incarnation has ended or was silent for too long."""
+        """Return whether an incarnation has ended or missed its heartbeats too long."""
         if incarnation in self._ended_incarnations:
             return True
         row = self._membership.members_by_id.get(instance_of(incarnation) or "")
@@ -105,19 +107,19 @@
         return row.state is MemberState.GONE
 
     def mark_ended_if_replaced(self, incarnation: str) -> None:
-        """Take an incarnation that a newer one replaced for ended."""
+        """Mark an incarnation as ended if a newer one of its instance was heard."""
         row = self._membership.members_by_id.get(instance_of(incarnation) or "")
         known = row.facts.incarnation if row is not None else ""
         if row is None or not known or known == incarnation or not row.heard_at:
             return
-        # An instance id names one process at a time, so one that we hear has
-        # replaced every older one. A younger one may just not be heard yet:
-        # taken for ended, it would be fenced in its first second.
+        # An instance id belongs to one process at a time, so an incarnation that
+        # was heard has replaced every older one. A newer one may not have been
+        # heard yet; marked as ended, it would be fenced in its first second.
         if booted_ms(incarnation) < booted_ms(known):
             self._ended_incarnations.add(incarnation)
 
     async def fetch_configuration(self, version: int) -> str | None:
-        """Return the shared configuration of a member that told a version."""
+        """Return the shared configuration of a member with at least this version."""
         for row in self._membership.members_by_id.values():
             if row.facts.configuration_version < version:
                 continue
@@ -131,7 +133,7 @@
         return None
 
     async def serve(self, stream: FrameStream, first: peer_pb2.PeerFrame) -> None:
-        """Run a link, from either side, until it ends."""
+        """Run a link opened by either side until it ends."""
         if not first.HasField("heartbeat"):
             return
         incarnation = first.heartbeat.incarnation
@@ -157,11 +159,11 @@
             log_event(Event.PEER_LOST, incarnation=incarnation)
 
     def first_frame(self) -> peer_pb2.PeerFrame:
-        """Return the first frame of a link."""
+        """Return the frame that opens a link: a full heartbeat."""
         return peer_pb2.PeerFrame(heartbeat=self._heartbeat(full=True))
 
     def tick(self, now: float) -> None:
-        """Judge silences, open links, send heartbeats that are due."""
+        """Update the membership, open links and send the heartbeats that are due."""
         self._membership.describe(self._own_facts())
         changes = self._membership.tick(now)
         for change in changes:
@@ -172,8 +174,8 @@
         self._send_notices(now)
         neighbours = self._membership.neighbours()
         for link in self.links_by_incarnation.values():
-            # A link to another instance carries work and the load that rides on
-            # it; heartbeats alone go to neighbours, so their number is bounded.
+            # Only neighbours get heartbeats of their own, which bounds their
+            # number; other links piggyback the load on frames that carry work.
             instance_id = instance_of(link.incarnation) or ""
             is_neighbour = instance_id in neighbours
             if is_neighbour and self._membership.heartbeat_due(instance_id, now):
@@ -194,13 +196,13 @@
                 self._send_heartbeat(link)
 
     def announce(self) -> None:
-        """Tell every linked peer at once what this instance is now."""
+        """Send every linked peer a heartbeat with the present state at once."""
         self._membership.describe(self._own_facts())
         for link in self.links_by_incarnation.values():
             self._send_heartbeat(link)
 
     async def close(self) -> None:
-        """End every link and connection."""
+        """Close every link and connection."""
         for dialer in self._dialers_by_instance.values():
             dialer.cancel()
         for link in list(self.links_by_incarnation.values()):
@@ -211,12 +213,13 @@
             await asyncio.wait(dialers, timeout=CLOSE_TIMEOUT_S)
 
     def _dial(self, now: float) -> None:
-        # One side opens a link, the lower id, so that there is one a pair.
+        # The instance with the lower id dials, so that each pair has one link.
         me = self._membership.me.facts.instance_id
         wanted = {
             instance_id for instance_id in self._peers_to_link() if me < instance_id
         }
-        # A lost neighbour is tried from both sides: a refusal proves its end.
+        # Both sides dial a suspected neighbour: a refused connection is evidence
+        # that its process has ended.
         wanted |= self._lost_neighbours()
         for instance_id in wanted - self._dialers_by_instance.keys():
             dialer = LinkDialer(
@@ -250,15 +253,15 @@
         return known & set(self._membership.neighbours())
 
     def exchanges_heartbeats_with(self, incarnation: str) -> bool:
-        """Whether this instance exchanges heartbeats with an incarnation."""
+        """Return whether this instance exchanges heartbeats with an incarnation."""
         instance_id = instance_of(incarnation) or ""
         return instance_id in self._membership.neighbours()
 
     def monitors_of(self, incarnation: str) -> Sequence[str]:
-        """Return the instances that hear the heartbeats of another, but for us.
+        """Return the other instances that receive an incarnation's heartbeats.
 
-        In a large fleet an instance hears few others, so it cannot tell whether
-        any other one is gone; these can.
+        In a large fleet an instance exchanges heartbeats with few others and
+        cannot detect the failure of the rest; the returned instances can.
         """
         subject = instance_of(incarnation) or ""
         domains = {
--- a/src/cassiaturn/server/_platform.py
+++ b/src/cassiaturn/server/_platform.py
@@ -1,4 +1,4 @@
-"""Connections to the platform's services, as far as the settings name them."""
+"""Clients of the platform's services that the settings name."""
 
 from cassiaturn.observability import Metrics, ObservedTable
 from cassiaturn.services import (
@@ -16,7 +16,7 @@
 
 
 class PlatformServices:
-    """The three services; one that is not named is None."""
+    """Table service, object store and host list; None if not in the settings."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         timings: TimingSettings,
         metrics: Metrics,
     ) -> None:
-        """Prepare the connections, which open on first use."""
+        """Create the clients; connections open on first use."""
         self._timeout_s = timings.store_timeout_ms / MILLISECONDS
         self._callers: list[HttpCaller] = []
         self.table: TableService | None = None
--- a/src/cassiaturn/server/_ports.py
+++ b/src/cassiaturn/server/_ports.py
@@ -1,4 +1,4 @@
-"""Turns what the engine asks for into frames and answers."""
+"""Implements the engine's output ports: frames to streams, answers to callers."""
 
 import asyncio
 import time
@@ -15,10 +15,10 @@
 
 
 class ServerPorts:
-    """Fills outboxes and wakes the calls that wait for an answer.
+    """Fills the outboxes of streams and wakes calls that wait for an answer.
 
-    Frames for a stream that is gone are dropped: what was sent on it is settled
-    when the target welcomes a new stream, or when its lease has lapsed.
+    Frames for a lost stream are dropped. A task that was sent on it is settled
+    when the target welcomes a new stream, or when the task's lease has expired.
     """
 
     def __init__(
@@ -29,9 +29,15 @@
         on_settled: Callable[[Answer, Job | None], None],
         on_superseded: Callable[[], None],
     ) -> None:
-        """Use tables that the instance keeps up to date."""
+        """Create the ports of one instance.
+
+        :param links_by_incarnation: open links, kept up to date by the caller.
+        :param metrics: records how long started tasks were queued.
+        :param on_settled: called with each settled answer and its job, if any.
+        :param on_superseded: called when a successor took over.
+        """
         self.sessions_by_target: Mapping[str, RunnerSession] = {}
-        """Set once the targets' book stands, which needs these ports."""
+        """Set after construction: the target manager needs these ports first."""
         self._links_by_incarnation = links_by_incarnation
         self._metrics = metrics
         self._on_settled = on_settled
@@ -39,7 +45,11 @@
         self.waiters_by_id: dict[str, list[asyncio.Future[Answer]]] = {}
 
     def send_start(self, record: TaskRecord, *, within_s: float, lease_ms: int) -> None:
-        """Send a start whose latest time is on the runner's own clock."""
+        """Send a start; its latest start time is given on the runner's own clock.
+
+        :param within_s: time in which the task may begin, in seconds.
+        :param lease_ms: lease of the task, in milliseconds.
+        """
         session = self.sessions_by_target[record.target_id]
         clock_ms = session.runner_clock(time.monotonic())
         resources = record.task.resources
@@ -65,20 +75,27 @@
             session.outbox.notify()
 
     def send_renewal(self, target_id: str, key: TaskKey, attempt: int) -> None:
-        """Extend a lease."""
+        """Ask a target to extend the lease of a task."""
         session = self.sessions_by_target.get(target_id)
         if session is not None:
             session.outbox.pending.renewals.append(_ref(key, attempt))
             session.outbox.notify()
 
     def acknowledge(self, target_id: str, key: TaskKey, attempt: int) -> None:
-        """Let a target forget a result, with the next frame that leaves anyway."""
+        """Let a target forget a result.
+
+        The acknowledgement waits for the next frame instead of sending its own.
+        """
         session = self.sessions_by_target.get(target_id)
         if session is not None:
             session.outbox.pending.acknowledged.append(_ref(key, attempt))
 
     def spill(self, record: TaskRecord, *, within_s: float, job_remaining: int) -> None:
-        """Give a task to a peer."""
+        """Spill a task to a peer.
+
+        :param within_s: time in which the task may begin, in seconds.
+        :param job_remaining: tasks of the job that are not done.
+        """
         link = self._links_by_incarnation.get(record.peer)
         if link is None:
             return
@@ -117,14 +134,14 @@
             link.outbox.notify()
 
     def deliver(self, answer: Answer, job: Job | None) -> None:
-        """Wake every call that waits for this submission."""
+        """Hand a settled answer to every call that waits for it."""
         for waiter in self.waiters_by_id.pop(answer.submission_id, ()):
             if not waiter.done():
                 waiter.set_result(answer)
         self._on_settled(answer, job)
 
     def superseded(self) -> None:
-        """Pass on that a successor took over."""
+        """Report that a successor took over this incarnation."""
         self._on_superseded()
 
     async def wait(self, submission_id: str) -> Answer:
--- a/src/cassiaturn/server/_raw.py
+++ b/src/cassiaturn/server/_raw.py
@@ -1,13 +1,13 @@
-"""Messages whose content passes through the dispatcher unread."""
+"""Serialized messages that the dispatcher passes on without decoding."""
 
 
 class RawMessage:
-    """A serialized message; grpclib's codec calls these two methods."""
+    """A serialized message with the two methods that grpclib's codec calls."""
 
     __slots__ = ("content",)
 
     def __init__(self, content: bytes = b"") -> None:
-        """Carry serialized content."""
+        """Wrap serialized content."""
         self.content = content
 
     def SerializeToString(self) -> bytes:  # noqa: N802 - the codec's name
@@ -16,5 +16,5 @@
 
     @classmethod
     def FromString(cls, content: bytes) -> "RawMessage":  # noqa: N802
-        """Return a message of this content."""
+        """Return a message that wraps this content."""
         return cls(content)
--- a/src/cassiaturn/server/_reclaim.py
+++ b/src/cassiaturn/server/_reclaim.py
@@ -1,11 +1,11 @@
-"""Settles tasks whose holder vanished, by what its targets tell.
-
-A peer that is gone reports nothing more, yet its targets know what it started.
-Once no start of it can come any more they are asked: results are taken, running
-tasks are kept alive and awaited, and what none of them began runs again, also if
-it may not be repeated. Without this, each such task waits for the longest run
-that leases allow, 14 s at the usual times, and then fails if it may not be
-repeated.
+"""Settles tasks spilled to a peer that is gone, from the reports of its targets.
+
+A peer that is gone sends no outcomes, but its targets know which tasks it started.
+Once none of its starts can arrive any more, the targets are queried: results are
+adopted, running tasks keep their leases and are awaited, and tasks that no target
+began run again, even non-repeatable ones. Without this, each such task would wait
+for the longest run that leases allow (14 s with the default timings) and then fail
+if it is not repeatable.
 """
 
 import asyncio
@@ -39,43 +39,44 @@
 MILLISECONDS = 1000
 
 SCAN_PERIOD_S = 0.5
-"""Time between two looks for tasks of vanished holders, in seconds."""
+"""Interval between scans for tasks spilled to peers that are gone, in seconds."""
 
 QUERY_TIMEOUT_S = 1.0
-"""Longest wait for what a target tells, in seconds."""
+"""Longest wait for a target's report, in seconds."""
 
 LEASE_MS = 2_000
-"""Lease that each question gives to the tasks it is about: four periods."""
+"""Lease that each query gives to the tasks it names, in milliseconds; four scan
+periods."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _FenceReplies:
-    """What the targets of a vanished holder told."""
+    """Reports of the targets that a peer which is gone may have used."""
 
     begun_by_key: Mapping[TaskKey, Begun]
-    """Tasks that some target began."""
+    """Tasks that some target began, with what it knows of them."""
 
     answered: Collection[str]
-    """Targets that answered and remember everything asked for."""
+    """Targets that answered and remember every start in question."""
 
     unanswered: Collection[str]
-    """Targets that did not."""
+    """Targets that did not answer or may have forgotten starts."""
 
 
 def _remembers_since(reply: FenceReply, age_s: float) -> bool:
-    """Return whether a target would know of every start in a time.
+    """Return whether a target would know of every start since a time.
 
-    A runner that was restarted since, or that forgets sooner, cannot deny a run:
-    taken at its word, a task would run a second time.
+    A runner that was restarted since then, or that forgets sooner, cannot prove
+    that a task did not run there. Trusting it could run a task a second time.
 
-    :param age_s: time since the oldest task was given away, in seconds.
+    :param age_s: time since the oldest task was spilled, in seconds.
     """
     known_s = min(reply.uptime_ms, reply.remembers_ms) / MILLISECONDS
     return reply.exhaustive and known_s > age_s
 
 
 class Reclaimer:
-    """Looks for tasks given to peers that are gone."""
+    """Scans for tasks spilled to peers that are gone and settles them."""
 
     def __init__(
         self,
@@ -83,10 +84,10 @@
         state: State,
         addresses_for_peer: Callable[[str], Mapping[str, Address]],
     ) -> None:
-        """Reclaim for one instance.
+        """Create the reclaimer of one instance.
 
-        :param addresses_for_peer: targets that an incarnation may have started tasks
-            at, by the failure domains where it held any.
+        :param addresses_for_peer: returns the targets at which an incarnation may
+            have started tasks: those of the failure domains where it held any.
         """
         self._state = state
         self._addresses_for_peer = addresses_for_peer
@@ -100,7 +101,7 @@
 
     def _overdue(self, now: float) -> Mapping[str, Sequence[TaskRecord]]:
         state = self._state
-        # The peer's last start can arrive this long after the task was given.
+        # The peer's last start can arrive this long after the task was spilled.
         wait_s = state.settings.spill_within_s + state.settings.start_within_s
         records_by_peer: dict[str, list[TaskRecord]] = {}
         for record in state.in_flight_by_key.values():
@@ -115,7 +116,7 @@
     async def _settle(self, peer: str, records: Sequence[TaskRecord]) -> None:
         addresses_by_target = self._addresses_for_peer(peer)
         if not addresses_by_target:
-            # With nobody to deny a run, nothing is proved.
+            # No target can prove that a task did not run.
             return
         replies = await self._query_targets(addresses_by_target, records)
         now = time.monotonic()
@@ -143,8 +144,8 @@
             case FailTask(detail=detail):
                 take_ended(self._state, record, None, 0.0, now, detail=detail)
             case _:
-                # Still running, or a target is silent: ask again, until the
-                # sweep gives the task up at the end of its longest run.
+                # Still running, or a target did not answer: query again, until the
+                # engine gives the task up after its longest possible run.
                 pass
 
     async def _query_targets(
--- a/src/cassiaturn/server/_router.py
+++ b/src/cassiaturn/server/_router.py
@@ -1,4 +1,8 @@
-"""Finds the home of each submission and gets its answer from there."""
+"""Routes calls about a submission to its home and returns the answer.
+
+The home is the instance incarnation that owns a submission. A ticket names it; for
+a caller-chosen id, the claim row in the table service does.
+"""
 
 import asyncio
 import time
@@ -24,27 +28,29 @@
 from cassiaturn.v1 import dispatcher_pb2, peer_pb2
 
 MAX_HOPS = 2
-"""Forwards of one call: to the home, and once more to a home's successor."""
+"""Most forwards of one call: to the home, and once more to its successor."""
 
 MONITORS_ASKED = 2
-"""Neighbours of a silent home that are asked, one after the other."""
+"""Most neighbours of an unreachable home that are asked, one after the other."""
 
 WATCH_PERIOD_S = 0.2
-"""Time between two progress events of a watched job, in seconds."""
+"""Interval between progress checks of a watched job, in seconds."""
 
 MAX_WAIT_S = 3600.0
-"""Wait for a submission whose caller set no deadline, in seconds."""
+"""Longest wait for a submission without a deadline, in seconds."""
 
 MIN_DEADLINE_S = 0.001
-"""Deadline of a submission whose time ran out while its id was claimed."""
+"""Deadline, in seconds, of a submission whose time ran out while its id was claimed;
+0 would mean no deadline."""
 
 UNKNOWN_RETRY_MS = 200
-"""Advice with ``UNKNOWN``: a fence of every target takes about as long."""
+"""Retry advice with ``UNKNOWN`` answers, in milliseconds; fencing every target takes
+about as long."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """Who calls, from the call metadata."""
+    """Identity of a caller, from the call metadata."""
 
     tenant: str
     """Tenant of the call."""
@@ -54,7 +60,7 @@
 
 
 FetchResults = Callable[[str], Awaitable[Sequence[bytes] | None]]
-"""Returns results by their key in the object store; None: not to be had now."""
+"""Returns results by object key; None if they cannot be read now."""
 
 
 async def _fetch_nothing(_: str) -> Sequence[bytes] | None:
@@ -62,7 +68,7 @@
 
 
 class SubmissionRouter:
-    """Routes by submission id: served here, forwarded, or taken over."""
+    """Routes by submission id: serves the call here, forwards it, or takes over."""
 
     def __init__(
         self,
@@ -75,7 +81,11 @@
         claims: ClaimWriter,
         successor: Successor,
     ) -> None:
-        """Route for one instance."""
+        """Create the router of one instance.
+
+        :param ticket_valid_ms: validity of issued tickets, in milliseconds.
+        :param successor: decides submissions whose home has ended.
+        """
         self._state = state
         self._ports = ports
         self._issuer = issuer
@@ -85,26 +95,29 @@
         self._me = state.settings.incarnation
         self.ticket_valid_ms = ticket_valid_ms
         self.fetch_results: FetchResults = _fetch_nothing
-        """Set once the object store's user stands."""
+        """Set after construction, once the offloader exists."""
         self._claim_tasks: set[asyncio.Task[str | Answer]] = set()
 
     @property
     def accepts_submissions(self) -> bool:
-        """Whether new submissions are taken.
+        """Whether new submissions are accepted.
 
-        Not before a shared configuration is known, and not once a planned stop or
-        a takeover is under way.
+        They are not before a shared configuration is known, during a planned
+        stop, or after a successor took over.
         """
         state = self._state
         closed = state.draining or state.superseded
         return bool(state.tenants_by_name) and not closed
 
     def issue_ticket(self) -> str:
-        """Return a submission id that names this instance."""
+        """Return a submission id that names this instance as home."""
         return self._issuer.issue(time.monotonic())
 
     async def submit(self, submission: Submission, *, hops: int = 0) -> Answer:
-        """Return the answer of a submission, from its home."""
+        """Return the answer of a submission from its home.
+
+        :param hops: how often the call was forwarded already.
+        """
         home = self._ticket_home(submission.submission_id)
         if home is None:
             home = await self._claim_home(submission)
@@ -136,7 +149,7 @@
     async def _ask_monitors(
         self, owner: str, request: peer_pb2.ForwardRequest, wait_s: float
     ) -> peer_pb2.ForwardReply | None:
-        """Send a submission to those who can tell whether its home is gone."""
+        """Send a submission to instances that can detect the failure of its home."""
         if request.hops >= MAX_HOPS or self._peers.exchanges_heartbeats_with(owner):
             return None
         for instance_id in self._peers.monitors_of(owner)[:MONITORS_ASKED]:
@@ -150,7 +163,10 @@
     async def collect(
         self, submission_id: str, identity: Identity, *, hops: int = 0
     ) -> Answer:
-        """Return what is known of a submission now."""
+        """Return the present answer of a submission.
+
+        :param hops: how often the call was forwarded already.
+        """
         home = await self._known_home(submission_id)
         if isinstance(home, Answer):
             return home
@@ -177,7 +193,8 @@
     ) -> tuple[bool, Answer]:
         """Cancel a submission at its home.
 
-        :returns: whether this settled it, and the answer that stands.
+        :param hops: how often the call was forwarded already.
+        :returns: whether this call settled it, and the answer in force.
         """
         home = await self._known_home(submission_id)
         if isinstance(home, Answer):
@@ -227,7 +244,10 @@
             await asyncio.sleep(WATCH_PERIOD_S)
 
     def _ticket_home(self, submission_id: str) -> str | Answer | None:
-        """Return the home that a ticket names; None for a caller's own id."""
+        """Return the home that a ticket names, or the answer to a malformed id.
+
+        :returns: None for a caller-chosen id without a record here.
+        """
         match parse_ticket(submission_id):
             case Ticket(home=home):
                 return home
@@ -243,10 +263,10 @@
         return None
 
     async def _claim_home(self, submission: Submission) -> str | Answer:
-        """Claim a caller's own id; an id that becomes ours is opened at once.
+        """Claim a caller-chosen id and open the submission if the claim succeeds.
 
-        The claim goes on when the caller hangs up. Otherwise a claim that
-        succeeds unseen would leave an id that nobody may ever open.
+        The claim continues when the caller hangs up. Otherwise a claim could
+        succeed unnoticed and leave an id that no instance may ever open.
         """
         opening = asyncio.create_task(self._claim_and_open(submission))
         self._claim_tasks.add(opening)
@@ -292,8 +312,8 @@
                 return found
 
     def _answer_own_claim(self, submission_id: str) -> str | Answer:
-        # The claim is this process's own but the record was dropped: starting
-        # the tasks again could run them twice.
+        # This process holds the claim. If it dropped the record, starting the
+        # tasks again could run them twice.
         if self._state.submissions.get(submission_id) is not None:
             return self._me
         return self._state.submissions.forgotten_answer(submission_id)
@@ -311,12 +331,12 @@
         return await self._ports.wait(submission.submission_id)
 
     async def _with_results(self, answer: Answer) -> Answer:
-        """Return an answer whole, with the results that were moved away."""
+        """Return an answer with its results, read back if they were offloaded."""
         if not answer.result_object or answer.results:
             return answer
         results = await self.fetch_results(answer.result_object)
         if results is None:
-            # Complete without its results would be a partial answer.
+            # A complete outcome without its results would be a partial answer.
             return _results_unreachable(answer)
         return replace(answer, results=results, result_object="")
 
@@ -343,7 +363,7 @@
 
 
 def unreachable(submission_id: str, home: str) -> Answer:
-    """Return what an instance says that cannot reach the home."""
+    """Return the answer of an instance that cannot reach the home."""
     return Answer.unknown(
         submission_id,
         Reason.HOME_UNREACHABLE,
@@ -356,7 +376,7 @@
     return Answer.unknown(
         submission_id,
         Reason.STORE_UNREACHABLE,
-        "the table service did not say whose this id is; submit it again",
+        "the table service did not return the owner of this id; submit it again",
         retry_after_ms=UNKNOWN_RETRY_MS,
     )
 
@@ -367,7 +387,7 @@
         outcome=Outcome.UNKNOWN,
         ran=Ran.EVERYTHING,
         reason=Reason.STORE_UNREACHABLE,
-        detail="it is complete, but the object store with its results is silent",
+        detail="it is complete, but the object store did not return its results",
         retry_after_ms=UNKNOWN_RETRY_MS,
         tasks_done=answer.tasks_done,
         tasks_total=answer.tasks_total,
@@ -375,7 +395,7 @@
 
 
 def _invalid(submission_id: str, problem: str) -> Answer:
-    # No instance opens such an id, so nothing ever runs under it.
+    # No instance accepts such an id, so no task ever runs under it.
     return Answer(
         submission_id=submission_id,
         outcome=Outcome.NOT_RUN,
--- a/src/cassiaturn/server/_run.py
+++ b/src/cassiaturn/server/_run.py
@@ -1,4 +1,4 @@
-"""Runs an instance as a process."""
+"""Runs an instance as an operating-system process."""
 
 import asyncio
 import signal
@@ -47,10 +47,10 @@
     """A planned stop."""
 
     SUPERSEDED = auto()
-    """Another instance took its submissions over: begin a new incarnation."""
+    """Another instance took its submissions over; start a new incarnation."""
 
     BROKEN = auto()
-    """An invariant does not hold."""
+    """An invariant was violated."""
 
 
 async def _serve(settings: InstanceSettings, schema: Schema) -> int:
@@ -76,7 +76,7 @@
             return EXIT_INVARIANT
         await instance.stop()
         await http.close()
-        # The last push to a collector that is gone takes its timeout.
+        # The last push blocks until its timeout if the metrics collector is gone.
         await asyncio.to_thread(instance.metrics.close)
         if reason is _StopReason.STOP:
             return EXIT_OK
--- a/src/cassiaturn/server/_status.py
+++ b/src/cassiaturn/server/_status.py
@@ -1,4 +1,4 @@
-"""The status document of an instance, from its tables."""
+"""Builds the status document of an instance."""
 
 import time
 from typing import TYPE_CHECKING
@@ -37,7 +37,7 @@
 
 
 def status_of(instance: "Instance") -> StatusDocument:
-    """Return everything that an instance says of itself now."""
+    """Return the status document of an instance as of now."""
     ready = instance.ready()
     has_table = instance.platform.table is not None
     breaker = _BREAKERS[instance.budget.state] if has_table else BreakerState.ABSENT
--- a/src/cassiaturn/server/_successor.py
+++ b/src/cassiaturn/server/_successor.py
@@ -1,4 +1,8 @@
-"""Takes over the submissions of incarnations that are gone."""
+"""Takes over the submissions of instance incarnations that have ended.
+
+A successor records the takeover in a row of the table service, fences the ended
+incarnation at every target and decides its submissions from the targets' reports.
+"""
 
 import asyncio
 import time
@@ -33,33 +37,34 @@
 MILLISECONDS = 1000
 
 ABSENT = 0
-"""Expected version of a row that must not exist."""
+"""Expected version of a row that must not exist yet."""
 
 POLL_INTERVAL_S = 0.02
-"""Pause between two looks at what a takeover waits for, in seconds."""
+"""Interval between checks of what a takeover waits for, in seconds."""
 
 TAKEOVER_TIMEOUT_S = 2.0
-"""Longest wait of a caller for the takeover row, in seconds."""
+"""Longest time a caller waits for the takeover row, in seconds."""
 
 FENCE_TIMEOUT_S = 1.0
-"""Longest wait for a target's answer to a fence, in seconds."""
+"""Longest wait for a target's reply to a fence request, in seconds."""
 
 MIN_DEADLINE_S = 0.001
-"""Deadline of a submission that is resumed at its very end, in seconds."""
+"""Deadline of a submission that is resumed as its time runs out, in seconds."""
 
 FENCE_LEASE_MS = 2_000
-"""Lease that each fence gives to the dead home's running tasks. Nobody else
-renews them: without it a task longer than the rest of its lease would be stopped
-while its result is awaited. Well above the time between two fences."""
+"""Lease that each fence gives to the dead home's running tasks, in milliseconds.
+Nothing else renews them: without it, a task longer than the rest of its lease would
+be stopped while its result is awaited. Well above the time between two fences."""
 
 UNDECIDED_WAIT_S = 1.5
-"""How long a caller waits for fences that may still settle its answer."""
+"""Longest time a caller waits for fences that may still settle its answer, in
+seconds."""
 
 _ROWS = TypeAdapter(TakeoverRow)
 
 
 class Successor:
-    """Runs the takeover table against the table service and the targets."""
+    """Executes the takeover table's decisions on the table service and targets."""
 
     def __init__(
         self,
@@ -73,11 +78,15 @@
         max_clock_skew_ms: int,
         ticket_valid_ms: int,
     ) -> None:
-        """Succeed for one instance.
-
-        :param addresses_by_target: every target that any home may have reached.
-        :param max_clock_skew_ms: by how much the wall clocks of two hosts differ
-            at most.
+        """Create the successor logic of one instance.
+
+        :param table: takeovers that this instance has begun.
+        :param store: table service; None if the settings name none.
+        :param addresses_by_target: returns every target that any home may have
+            reached.
+        :param max_clock_skew_ms: largest difference between the wall clocks of two
+            hosts, in milliseconds.
+        :param ticket_valid_ms: validity of tickets, in milliseconds.
         """
         self._table = table
         self._store = store
@@ -92,10 +101,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def owner_of(self, home: str) -> str | None:
-        """Return who decides for a home's submissions now.
+        """Return the incarnation that now decides a home's submissions.
 
-        :returns: the home itself while it may live, its successor, this
-            instance, or None while nobody can be said to.
+        :returns: the home itself while it may be alive, its successor, this
+            incarnation, or None if that is not known in time.
         """
         give_up_at = time.monotonic() + TAKEOVER_TIMEOUT_S
         while True:
@@ -117,9 +126,9 @@
     async def resume(
         self, home: str, submission: Submission, *, repeatable: bool
     ) -> Answer | Submission:
-        """Decide a dead home's submission by what the targets prove.
+        """Decide a dead home's submission from the evidence of the targets.
 
-        :returns: the answer, or the submission with what is to be adopted.
+        :returns: the answer, or the submission with the results to adopt.
         """
         self._table.adopt_line(home)
         give_up_at = time.monotonic() + UNDECIDED_WAIT_S
@@ -144,13 +153,16 @@
                     left_s = max(deadline - now, MIN_DEADLINE_S)
                     return _resumed(submission, decisions, left_s)
                 if now >= deadline:
-                    # Passed on, a task that still runs would be started again.
+                    # Resuming now would start a task again that still runs.
                     return _still_running(submission)
             self._start(self._step())
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def collect(self, home: str, submission_id: str) -> Answer:
-        """Return what is known of a dead home's submission without its tasks."""
+        """Return the answer to a collect call for a dead home's submission.
+
+        The call carries no tasks, so nothing can be resumed.
+        """
         return Answer.unknown(
             submission_id,
             Reason.HOME_UNREACHABLE,
@@ -158,7 +170,7 @@
         )
 
     async def was_taken_over(self, incarnation: str) -> bool | None:
-        """Whether a takeover row names an incarnation; None: not known."""
+        """Return whether an incarnation has a takeover row; None if not known."""
         if self._store is None or not self._budget.may_read(time.monotonic()):
             return None
         key = takeover_key(incarnation)
@@ -171,7 +183,7 @@
                 return None
 
     def mark_dead(self, dead: str, now: float) -> None:
-        """Note that the process of an incarnation has certainly ended."""
+        """Record that the process of an incarnation has certainly ended."""
         self._table.proved_dead(dead, now)
 
     async def _step(self) -> None:
@@ -183,7 +195,7 @@
 
     def _insert_due(self, now: float) -> None:
         takeovers = self._table.takeovers_by_dead.values()
-        # Asked first: the budget's right to a write is spent once it is given.
+        # Checked first because `may_write` consumes a write from the budget.
         if not any(takeover.phase is TakeoverPhase.WANTED for takeover in takeovers):
             return
         if self._store is not None and self._budget.may_write(now):
@@ -241,9 +253,9 @@
                 self._table.fence_failed(due.dead, due.target_id, now)
 
     def _may_be_forgotten(self, home: str, submission_id: str) -> bool:
-        # Targets forget the keys of acknowledged tasks after a time. A ticket
-        # older than that may have run and been forgotten, so that no denial
-        # proves anything; of an id without a ticket the home's age is the bound.
+        # Targets forget the keys of acknowledged tasks after a while. A submission
+        # older than that may have run and been forgotten, so the absence of a
+        # report proves nothing. Without a ticket, the home's age bounds the age.
         ticket = parse_ticket(submission_id)
         issued_ms = ticket.issued_ms if isinstance(ticket, Ticket) else 0
         age_ms = time.time() * MILLISECONDS - booted_ms(home) - issued_ms
@@ -257,9 +269,9 @@
         log_event(Event.TAKEOVER_DONE, incarnation=dead)
 
     def _knows_all_starts_of(self, uptime_ms: int, dead: str) -> bool:
-        # A runner that was restarted knows nothing of what its earlier process
-        # began. Taken at its word, a task that ran there would be called "not
-        # run". So it must be older than the home, by more than clocks differ.
+        # A restarted runner does not know the tasks that its earlier process began,
+        # and trusting it could report a task that ran there as "not run". So the
+        # runner must be older than the home by more than the clock skew.
         began_ms = time.time() * MILLISECONDS - uptime_ms
         return began_ms + self._max_clock_skew_ms < booted_ms(dead)
 
@@ -272,10 +284,10 @@
 def without_negative_evidence(
     decision: SubmissionDecision, submission_id: str
 ) -> SubmissionDecision:
-    """Return a decision that rests on what ran, and on nobody's denial.
+    """Return a decision that does not rest on the absence of reports.
 
-    Results and failures that targets tell stay; "not run" and starting the rest
-    become "unknown".
+    Results and failures that targets reported stay; a "not run" answer, or starting
+    the tasks without a report, becomes "unknown".
     """
     if isinstance(decision, TellCaller):
         if decision.answer.outcome is not Outcome.NOT_RUN:
--- a/src/cassiaturn/server/_targets.py
+++ b/src/cassiaturn/server/_targets.py
@@ -1,4 +1,4 @@
-"""The targets that this instance holds, and its streams to them."""
+"""Manages the targets that this instance holds and its streams to them."""
 
 import asyncio
 import time
@@ -13,20 +13,20 @@
 from cassiaturn.v1 import runner_pb2
 
 UNLIMITED_CAPACITY = 1 << 40
-"""Capacity of a worker whose settings give none."""
+"""Capacity assumed for a resource that the settings do not limit."""
 
 
 class TargetManager:
-    """Opens a stream to each held target and closes those given up.
+    """Opens a stream to each held target and closes those of released targets.
 
-    A target that is given up keeps its stream until its last task has ended, so
-    that a change of holder cuts nothing.
+    A released target keeps its stream until the last task of this instance there
+    has ended, so that a change of holder interrupts no task.
     """
 
     def __init__(self, *, state: State, holder: str) -> None:
         """Start with no target held.
 
-        :param state: the tables of the instance.
+        :param state: engine state of the instance.
         :param holder: incarnation of the instance.
         """
         self._state = state
@@ -42,7 +42,7 @@
         self.sessions_by_target: dict[str, RunnerSession] = {}
 
     def update_targets(self, targets: Iterable[TargetSettings]) -> None:
-        """Add targets, or take their present addresses."""
+        """Add targets, or replace the settings of known ones."""
         for target in targets:
             self._settings_by_target[target.target_id] = target
 
@@ -52,7 +52,7 @@
         return self._settings_by_target
 
     def hold(self, target_ids: Collection[str]) -> None:
-        """Hold exactly these targets from now on."""
+        """Hold exactly these targets: open missing sessions and release the others."""
         for target_id in list(self.sessions_by_target):
             if target_id not in target_ids:
                 self._release(target_id)
@@ -64,7 +64,7 @@
                 self._open(self._settings_by_target[target_id])
 
     def drain(self, target_id: str, *, activate: bool) -> None:
-        """Stop, or allow again, new starts at a target for an operator."""
+        """Stop new starts at a target on an operator's request, or allow them again."""
         if activate:
             self._drained.discard(target_id)
         else:
@@ -72,13 +72,13 @@
         self._set_leaving(target_id)
 
     def set_drained_by_configuration(self, target_ids: Collection[str]) -> None:
-        """Take the targets that the shared configuration drains."""
+        """Replace the set of targets that the shared configuration drains."""
         self._drained_by_configuration = frozenset(target_ids)
         for target_id in self._state.targets_by_id:
             self._set_leaving(target_id)
 
     def set_listed_leaving(self, target_id: str, *, leaving: bool) -> None:
-        """Take what the platform's list says of a target's host."""
+        """Record whether the platform's host list says that a target's host leaves."""
         if leaving:
             self._listed_leaving.add(target_id)
         else:
@@ -86,7 +86,7 @@
         self._set_leaving(target_id)
 
     def close_idle(self) -> None:
-        """Close the streams of released targets that run nothing of ours."""
+        """Close the streams of released targets with no task of this instance."""
         for target_id in list(self._released):
             row = self._state.targets_by_id.get(target_id)
             if row is None or row.in_use == 0:
@@ -164,8 +164,8 @@
             on_result(state, target_id, result, now)
         for refusal in frame.refusals:
             on_refusal(state, target_id, refusal, now)
-        # Only frames with a status say that a target is not leaving; in a frame
-        # of results alone the field is absent.
+        # False means "not leaving" only in frames that carry a status; a frame
+        # with results alone leaves the field unset.
         if frame.leaving or frame.HasField("usage") or frame.HasField("welcome"):
             self._update_reported_leaving(target_id, frame.leaving)
         dispatch(state, now)
@@ -187,7 +187,7 @@
 
 
 def to_row(settings: TargetSettings) -> TargetRow:
-    """Return the row of a target that is not connected yet."""
+    """Return the engine's row of a target that is not connected yet."""
     resources = settings.resources
     return TargetRow(
         target_id=settings.target_id,
