--- a/src/cassiaturn/server/tests/conftest.py
+++ b/src/cassiaturn/server/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of the process."""
+"""Fixtures of the tests of the server process."""
 
 from collections.abc import AsyncIterator
 
--- a/src/cassiaturn/server/tests/fleet.py
+++ b/src/cassiaturn/server/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Instances, runner stand-ins and a table service in one process, on loopback."""
+"""A fleet of instances and simulated runners in one process, on loopback."""
 
 import asyncio
 import gc
@@ -54,7 +54,7 @@
 
 
 async def eventually(is_true: Callable[[], bool]) -> None:
-    """Wait until something holds; fail if it does not within the patience."""
+    """Wait until a condition holds; raise ``TimeoutError`` after ``TIMEOUT_S``."""
     async with asyncio.timeout(TIMEOUT_S):
         while not is_true():  # noqa: ASYNC110 - several tables decide together
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -73,7 +73,7 @@
 
 
 class Fleet:
-    """Some instances over two failure domains with the targets of both."""
+    """Several instances in two failure domains, with the targets of both."""
 
     def __init__(
         self,
@@ -114,7 +114,7 @@
 
     async def __aenter__(self) -> "Fleet":
         await self.runners.start()
-        # A runner younger than a home cannot vouch for it; see the fence.
+        # A runner started after a home cannot prove what the home did not start.
         await asyncio.sleep(0.6)
         for index in range(len(self._domains)):
             await self.start(index)
@@ -127,7 +127,7 @@
         await self.runners.close()
 
     async def start(self, index: int) -> Instance:
-        """Start an instance, in the place of an ended one if there was one."""
+        """Start an instance, replacing the ended one at this index if there is one."""
         instance = Instance(
             settings=self._settings(index), schema=Schema.load(SCHEMAS).unwrap()
         )
@@ -136,31 +136,32 @@
         return instance
 
     async def restart(self, index: int) -> Instance:
-        """Replace an instance by a new incarnation that no peer has heard."""
+        """Replace an instance by a new incarnation that no peer has heard from."""
         await self.kill(index)
         return await self.start(index)
 
     async def kill(self, index: int) -> None:
-        """End an instance without warning: its connections just close."""
+        """End an instance without a drain: its connections are aborted."""
         instance = self.instances[index]
         server = instance._server
         assert server is not None
         handlers = set(server._handlers)
         protocols = [
-            one
-            for one in gc.get_objects()
-            if isinstance(one, H2Protocol) and one.handler in handlers
+            candidate
+            for candidate in gc.get_objects()
+            if isinstance(candidate, H2Protocol) and candidate.handler in handlers
         ]
-        # A connection that was accepted in this turn of the loop is made in the next.
+        # A connection accepted in this iteration of the event loop is only set up in
+        # the next one.
         async with asyncio.timeout(1.0):
-            while not all(hasattr(one, "connection") for one in protocols):  # noqa: ASYNC110
+            while not all(hasattr(candidate, "connection") for candidate in protocols):  # noqa: ASYNC110
                 await asyncio.sleep(0)
         for protocol in protocols:
             protocol.connection._transport.abort()
         await instance.close()
 
     async def settle(self) -> None:
-        """Wait until every instance is ready and linked, and every target held."""
+        """Wait until every instance is ready and linked and every target is held."""
         links = len(self.instances) - 1
 
         def is_settled() -> bool:
@@ -183,7 +184,7 @@
         return Client(addresses=self.addresses, tenant=TENANT, caller="test", seed=1)
 
     def starts_by_task(self) -> Counter[TaskKey]:
-        """Return how often each task was started, as the runners saw it."""
+        """Return how often each task was started, from the runners' journals."""
         return Counter(
             entry.key
             for journal in self._journals
@@ -197,7 +198,7 @@
             row = instance.state.targets_by_id.get(target_id)
             if row is not None:
                 return row
-        raise AssertionError(f"nobody holds {target_id}")
+        raise AssertionError(f"no instance holds {target_id}")
 
     def _plan_targets(
         self, ports: Iterator[int], by_domain: int
--- a/src/cassiaturn/server/tests/test_whole_path.py
+++ b/src/cassiaturn/server/tests/test_end_to_end.py
@@ -1,3 +1,5 @@
+"""Jobs from submission to answer over several instances, without faults."""
+
 import asyncio
 from pathlib import Path
 
@@ -16,7 +18,7 @@
 from cassiaturn_examples.kwabena import props_pb2
 
 
-async def test_a_job_of_many_tasks_comes_back_whole_and_in_order(
+async def test_results_of_a_large_job_are_complete_and_in_order(
     tmp_path: Path,
 ) -> None:
     tasks = [availability(f"prop-{number}") for number in range(60)]
@@ -31,11 +33,13 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_a_resubmission_elsewhere_gets_the_first_answer(tmp_path: Path) -> None:
-    """A caller submits a ticket to its home and, at once, to both others.
+async def test_a_resubmission_to_other_instances_gets_the_same_answer(
+    tmp_path: Path,
+) -> None:
+    """A caller submits one ticket to its home and to both other instances at once.
 
-    The others find the home in the ticket and forward. All three calls return
-    one answer, and each task was started once.
+    The others must forward to the home that the ticket names. All three calls
+    return the same answer, and each task is started once.
     """
     async with Fleet(directory=tmp_path) as fleet, fleet.client() as client:
         ticket = await ticket_of(client, fleet, 0)
@@ -65,7 +69,7 @@
         (CHECK, [b"x" * 70_000], Reason.INVALID),
     ],
 )
-async def test_bad_input_is_refused_before_anything_starts(
+async def test_an_invalid_submission_is_refused_before_any_start(
     tmp_path: Path, method: str, tasks: list[bytes], reason: Reason
 ) -> None:
     async with Fleet(directory=tmp_path, domains=("osu",)) as fleet:
@@ -77,11 +81,11 @@
         assert not fleet.starts_by_task()
 
 
-async def test_a_planned_stop_cuts_nothing(tmp_path: Path) -> None:
-    """Callers have jobs at an instance that is told to stop.
+async def test_a_planned_stop_completes_accepted_jobs(tmp_path: Path) -> None:
+    """An instance with running jobs gets a planned stop.
 
-    It takes nothing new, finishes what it has and only then closes; every
-    caller gets its whole answer from it and no task is started twice.
+    It accepts nothing new, finishes its jobs and only then closes. Every caller
+    gets a complete answer from it and no task is started twice.
     """
     async with Fleet(directory=tmp_path, run_ms=300) as fleet:
         async with fleet.client() as client:
@@ -101,11 +105,13 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_a_cancelled_job_ends_at_once_and_says_what_ran(tmp_path: Path) -> None:
-    """A caller cancels a job of which some tasks run and some wait.
+async def test_a_cancelled_job_ends_at_once_and_reports_what_ran(
+    tmp_path: Path,
+) -> None:
+    """A caller cancels a job while some of its tasks run and others wait.
 
-    The answer comes before the running tasks could end; it says that some ran,
-    and a resubmission of the same id gets the same answer.
+    The answer arrives before the running tasks can end and says that tasks may
+    have run. A resubmission of the same id gets the same answer.
     """
     fleet = Fleet(directory=tmp_path, domains=("osu",), run_ms=2_000)
     async with fleet, fleet.client() as client:
--- a/src/cassiaturn/server/tests/test_store_failures.py
+++ b/src/cassiaturn/server/tests/test_store_failures.py
@@ -1,4 +1,4 @@
-"""The table service or the object store is down, or loses its answers."""
+"""Outages and lost responses of the table service and the object store."""
 
 import asyncio
 from dataclasses import replace
@@ -29,12 +29,13 @@
 from cassiaturn.v1 import dispatcher_pb2
 
 
-async def test_an_own_id_at_three_instances_at_once_runs_once(
+async def test_a_caller_chosen_id_sent_to_three_instances_runs_once(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """A caller sends one id of its own to three instances at the same time.
+    """A caller submits the same self-chosen id to three instances at the same time.
 
-    One insert wins; the others read the row and forward. All get one answer.
+    One insert wins; the other instances read the row and forward to the winner.
+    All calls return the same answer.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         jobs = [
@@ -47,13 +48,13 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_lost_answers_of_the_store_start_nothing_twice(
+async def test_lost_table_responses_start_no_task_twice(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """Half of the table's answers are lost after the insert took effect.
+    """Half of the table service's responses are lost after the insert took effect.
 
-    The ledger reads the rows again and knows its own by the token. Each id gets
-    one final answer, whatever instance it was sent to.
+    The claim ledger must read the rows again and recognise its own by their token.
+    Each id gets one final answer, whichever instance it was sent to.
     """
     platform.state.fault = PlatformFault(answer_lost_share=0.5)
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
@@ -67,13 +68,13 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_tickets_work_while_the_store_is_down(
+async def test_tickets_work_while_the_table_service_is_down(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """The table service goes down under a running fleet.
+    """The table service goes down while the fleet runs.
 
-    Tickets need no write, so those jobs complete; an id of the caller's own is
-    answered "unknown", since nobody can say whose it is.
+    Tickets need no write, so jobs with tickets complete. A caller-chosen id is
+    answered "unknown", since its owner cannot be determined.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         platform.state.fault = PlatformFault(down=True)
@@ -88,14 +89,14 @@
         assert started == {answer.submission_id}
 
 
-async def test_results_in_the_object_store_come_back_whole_or_not_at_all(
+async def test_offloaded_results_are_returned_completely_or_not_at_all(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
     """A caller collects a job whose results were moved to the object store.
 
-    While the store is silent the answer is "unknown" and not a complete one
-    without results; once it answers, the results are whole. Another tenant is
-    told nothing of the job.
+    While the store is down the answer must be "unknown", not complete without
+    results; once it is back, all results are returned. Another tenant gets
+    nothing of the job.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         home = fleet.instances[0]
@@ -108,42 +109,43 @@
         assert record is not None
         record.answer = replace(first, results=(), result_object=key)
         platform.state.fault = PlatformFault(down=True)
-        silent = await client.collect(ticket)
-        assert silent.outcome is Outcome.UNKNOWN
+        unavailable = await client.collect(ticket)
+        assert unavailable.outcome is Outcome.UNKNOWN
         platform.state.fault = PlatformFault()
-        whole = await client.collect(ticket)
-        assert whole.results == first.results, whole
-        stranger = Identity(tenant="guild", caller="x")
-        told = await home.router.collect(ticket, stranger)
-        assert told.outcome is Outcome.UNKNOWN
-        assert not told.results
+        complete = await client.collect(ticket)
+        assert complete.results == first.results, complete
+        other_tenant = Identity(tenant="guild", caller="x")
+        reply = await home.router.collect(ticket, other_tenant)
+        assert reply.outcome is Outcome.UNKNOWN
+        assert not reply.results
 
 
-async def test_old_claims_are_deleted_and_young_ones_stay(
+async def test_expired_claims_are_deleted_and_recent_ones_kept(
     tmp_path: Path, platform: PlatformStandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The table fills with claims of homes that are gone.
 
-    Any instance deletes those past their retention; a claim that a caller may
-    still come back for stays, or its order would run a second time.
+    Any instance deletes expired claims. A claim within its retention must stay,
+    or a resubmission of its id would run the tasks a second time.
     """
     monkeypatch.setattr("cassiaturn.server._claims.SWEEP_S", 0.05)
     old = ClaimRow(submission_id="old", home="x~10000000001", token="t", claimed_ms=1)
-    young = replace(old, submission_id="young", claimed_ms=wall_ms())
-    for row in (old, young):
+    recent = replace(old, submission_id="young", claimed_ms=wall_ms())
+    for row in (old, recent):
         value = TypeAdapter(ClaimRow).dump_json(row).decode()
         platform.state.table.transact([Put(key=row.key, value=value)])
     async with fleet_with(platform, tmp_path):
         await eventually(lambda: not platform.state.table.read([old.key]))
-        assert platform.state.table.read([young.key])
+        assert platform.state.table.read([recent.key])
 
 
-async def test_a_proposal_is_in_force_on_every_instance(
+async def test_a_proposed_configuration_takes_effect_on_every_instance(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """An operator adds a tenant; until then its calls are refused as unknown.
+    """An operator proposes a configuration with a tenant unknown until then.
 
-    Every instance takes the new version, and none goes back to the file.
+    Every instance must apply the new version, and none may return to the
+    configuration file.
     """
     async with fleet_with(platform, tmp_path) as fleet:
         caller = HttpCaller(base_url=f"http://127.0.0.1:{platform.port}", timeout_s=2.0)
--- a/src/cassiaturn/server/tests/test_successors.py
+++ b/src/cassiaturn/server/tests/test_successors.py
@@ -1,4 +1,4 @@
-"""A home dies, stands still or is fenced; somebody decides in its place."""
+"""Takeover of the submissions of a home that died, is unresponsive or is fenced."""
 
 import asyncio
 from pathlib import Path
@@ -23,14 +23,14 @@
 from cassiaturn.v1 import dispatcher_pb2, peer_pb2
 
 
-async def test_a_successor_adopts_what_a_dead_home_began(
+async def test_a_successor_adopts_tasks_started_by_a_dead_home(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """A caller's orders run when their home dies; the caller submits again.
+    """A home dies while non-repeatable tasks run; the caller submits the job elsewhere.
 
-    Another instance sees the home gone, writes the takeover row and fences all
-    targets. They tell that every task began, so it waits for the results and
-    answers complete; nothing is started a second time.
+    The new instance writes the takeover row and fences all targets. They report
+    every task as started, so it awaits the results, answers complete and starts
+    no task a second time.
     """
     async with fleet_with(platform, tmp_path, run_ms=3_000) as fleet:
         async with fleet.client() as client:
@@ -46,18 +46,19 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_what_never_began_at_a_dead_home_is_truly_not_run(
+async def test_tasks_never_started_by_a_dead_home_are_reported_not_run(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """An order waits behind others at its home when the home dies.
+    """A home dies while a job waits in its queue.
 
-    The successor fences every target; each denies the order, so the caller is
-    told "not run" and may come back with a new id. The order never starts.
+    The successor fences every target and none of them started a task of the job,
+    so the caller gets "not run" and may submit under a new id. No task of the job
+    may start afterwards.
     """
     async with fleet_with(platform, tmp_path, run_ms=2_500) as fleet:
         async with fleet.client() as client:
             blocking = [order(f"block-{number}") for number in range(100)]
-            busy = [
+            blockers = [
                 submit(
                     client,
                     fleet,
@@ -68,7 +69,7 @@
                 for index in range(3)
             ]
             states = [instance.state for instance in fleet.instances]
-            # Every slot of the fleet is taken, so that the order has to wait.
+            # Every slot of the fleet is in use, so the job has to wait.
             await eventually(lambda: all(len(state.queue) > 50 for state in states))
             state = states[0]
             ticket = await ticket_of(client, fleet, 0)
@@ -76,21 +77,21 @@
             await eventually(lambda: ticket in state.jobs_by_id)
             await fleet.kill(0)
             answer = await job
-            for one in busy:
-                one.cancel()
+            for blocker in blockers:
+                blocker.cancel()
         assert answer.outcome is Outcome.NOT_RUN, answer
         assert answer.reason is Reason.SUPERSEDED
         started = {key.submission_id for key in fleet.starts_by_task()}
         assert ticket not in started
 
 
-async def test_without_the_store_nobody_succeeds_a_dead_home(
+async def test_no_takeover_while_the_table_service_is_down(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """The home dies while the table service is down; the caller asks again.
+    """A home dies while the table service is down; the caller submits again.
 
-    Nobody may take over without the row, so the answer is "unknown", not a
-    guess. Once the table is back the same id gets its answer.
+    No instance may take over without the takeover row, so the answer is "unknown".
+    Once the table service is back, the same id gets its answer.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         ticket = await ticket_of(client, fleet, 0)
@@ -112,32 +113,32 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_a_younger_incarnation_is_not_taken_for_ended(
+async def test_a_newer_incarnation_is_not_treated_as_ended(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """An instance restarts and at once gives a caller a ticket.
+    """An instance restarts and immediately issues a ticket.
 
-    The caller sends it to a peer that has only heard the old incarnation. The
-    peer must forward it and not succeed a home that has just begun.
+    The caller submits it to a peer that has only heard from the old incarnation.
+    The peer must forward the call and not take over the new incarnation.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         peers = fleet.instances[1].peers
-        younger = await fleet.restart(0)
-        peers.mark_ended_if_replaced(younger.incarnation)
-        assert not peers.is_gone(younger.incarnation)
-        ticket = younger.router.issue_ticket()
+        newer = await fleet.restart(0)
+        peers.mark_ended_if_replaced(newer.incarnation)
+        assert not peers.is_gone(newer.incarnation)
+        ticket = newer.router.issue_ticket()
         answer = await submit(client, fleet, ticket, DECKS, index=1)
         assert answer.outcome is Outcome.COMPLETE
-        assert not younger.superseded.is_set()
+        assert not newer.superseded.is_set()
 
 
-async def test_a_fenced_incarnation_says_that_it_does_not_know(
+async def test_a_fenced_incarnation_answers_unknown(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """Targets refuse a home's starts as fenced: a successor has taken over.
+    """A successor has taken over, so the targets refuse a home's starts as fenced.
 
-    Its callers hear "unknown" at once, and so does whoever comes with one of
-    its tickets later; only the successor may say more.
+    The home answers "unknown" to its waiting callers at once, and to later
+    submissions of its tickets too; only the successor may give other answers.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         home = fleet.instances[0]
@@ -171,10 +172,10 @@
 async def test_a_task_that_still_runs_at_the_deadline_is_not_started_again(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """A home dies with long orders running; the caller's deadline comes first.
+    """A home dies while its tasks run past the caller's deadline.
 
-    The successor knows that they run and has no results yet. It answers
-    "unknown", not as if they had never begun, and starts none of them again.
+    The successor knows that they run and has no results yet. It must answer
+    "unknown" and start none of them again.
     """
     async with fleet_with(platform, tmp_path, run_ms=9_000) as fleet:
         async with fleet.client() as client:
@@ -195,13 +196,14 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_every_call_to_a_home_that_is_given_up_ends(
+async def test_every_call_forwarded_to_an_unresponsive_home_ends(
     tmp_path: Path, platform: PlatformStandIn, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two callers wait through one instance for a home that stands still.
+    """Two calls forwarded by one instance wait for a home that never answers.
 
-    The home is given up. The first call goes on at once with another instance;
-    the second must end too and not be taken for hung up by its caller.
+    The home is declared gone and the calls to it are cancelled. The first caller
+    forwards again at once; the second call must still end with no reply and not
+    be treated as if its caller had hung up.
     """
     async with fleet_with(platform, tmp_path) as fleet:
         home, other = fleet.instances[0], fleet.instances[1]
@@ -215,20 +217,23 @@
             submit=dispatcher_pb2.SubmitRequest(submission_id="x", method=ORDER),
         )
 
-        async def ask_twice() -> None:
+        async def forward_twice() -> None:
             first = await other.peers.forwards.forward(
                 home.incarnation, request, timeout_s=30
             )
             assert first is None
             await other.peers.forwards.forward(home.incarnation, request, timeout_s=0.1)
 
-        async def ask() -> None:
+        async def forward_once() -> None:
             last = await other.peers.forwards.forward(
                 home.incarnation, request, timeout_s=30
             )
             assert last is None
 
-        calls = [asyncio.create_task(ask_twice()), asyncio.create_task(ask())]
+        calls = [
+            asyncio.create_task(forward_twice()),
+            asyncio.create_task(forward_once()),
+        ]
         await asyncio.sleep(0.2)
         other.peers.forwards.cancel_calls(home.incarnation)
         async with asyncio.timeout(5):
--- a/src/cassiaturn/server/tests/test_target_failures.py
+++ b/src/cassiaturn/server/tests/test_target_failures.py
@@ -1,4 +1,4 @@
-"""Targets fail, leave or are lost, and holders vanish or leave."""
+"""Failures, drains and losses of targets and of the instances that hold them."""
 
 import asyncio
 from pathlib import Path
@@ -22,13 +22,13 @@
 )
 
 
-async def test_a_target_that_fails_everything_fails_no_repeatable_job(
+async def test_repeatable_jobs_survive_a_target_that_fails_every_task(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """One target fails every task at once, so it is always free and draws work.
+    """A target fails every task immediately, so it is always free and attracts work.
 
-    Tasks that may be repeated run again elsewhere, and the target is ejected;
-    the callers see only complete answers.
+    Repeatable tasks must be retried elsewhere and the target ejected, so that
+    callers get only complete answers.
     """
     async with fleet_with(platform, tmp_path) as fleet, fleet.client() as client:
         broken = fleet.targets[0].target_id
@@ -41,13 +41,13 @@
         assert {answer.outcome for answer in answers} == {Outcome.COMPLETE}
 
 
-async def test_a_leaving_target_gets_nothing_new_and_loses_nothing(
+async def test_a_leaving_target_gets_no_new_tasks_and_loses_none(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """A target says that it leaves while it runs tasks.
+    """A target announces that it leaves while it runs tasks.
 
-    What it runs comes back whole; later jobs run elsewhere, so its journal
-    shows no start after the notice was taken.
+    Its running tasks must complete and later jobs run elsewhere, so it sees no
+    start after its holder processed the announcement.
     """
     async with fleet_with(platform, tmp_path, run_ms=400) as fleet:
         async with fleet.client() as client:
@@ -68,13 +68,14 @@
         assert runner.starts == starts
 
 
-async def test_an_order_on_a_lost_target_is_never_run_again(
+async def test_a_non_repeatable_task_on_a_lost_target_is_not_retried(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """A target's connections break for longer than the lease of what it runs.
+    """A target is unreachable for longer than the lease of its running task.
 
-    An order may have run there, so it is not started elsewhere; the caller is
-    told "failed", and that it may have run. A check is started again instead.
+    The task may have run there, so a non-repeatable one is not started elsewhere:
+    the answer is "failed" and says that it may have run. A repeatable task would be
+    started again.
     """
     async with fleet_with(platform, tmp_path, run_ms=60_000) as fleet:
         async with fleet.client() as client:
@@ -92,14 +93,14 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_an_order_given_to_a_peer_that_dies_is_settled_by_its_targets(
+async def test_tasks_spilled_to_a_dead_peer_are_settled_by_its_targets(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """A home has given orders to a peer, some running and some waiting there.
+    """A peer dies with spilled tasks, some running and some waiting.
 
-    The peer dies. The home asks the peer's targets: what they run is kept alive
-    and its result taken, what none of them began is started elsewhere. The
-    caller gets a complete answer and no order is started twice.
+    The home queries the peer's targets: running tasks keep their leases and their
+    results are adopted, and tasks that no target started run elsewhere. The answer
+    is complete and no task is started twice.
     """
     async with fleet_with(platform, tmp_path, run_ms=2_500) as fleet:
         async with fleet.client() as client:
@@ -121,13 +122,13 @@
         assert set(fleet.starts_by_task().values()) == {1}
 
 
-async def test_a_full_fleet_takes_the_queue_of_an_instance_that_leaves(
+async def test_a_full_fleet_takes_the_queue_of_a_leaving_instance(
     tmp_path: Path, platform: PlatformStandIn
 ) -> None:
-    """An instance leaves with a long queue while every peer is full too.
+    """An instance leaves with a long queue while every peer is full.
 
-    Its targets go to the others at once, so it hands its queue to them although
-    none reports a free slot; every caller gets its whole answer.
+    Its targets move to the peers at once, so it must spill its queue to them
+    although none reports a free slot. Every caller gets a complete answer.
     """
     async with fleet_with(platform, tmp_path, run_ms=150) as fleet:
         async with fleet.client() as client:
