--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -98,7 +98,7 @@
         self.forwards.set_address(instance_id, address)
 
     def is_gone(self, incarnation: str) -> bool:
-        """Return whether an incarnation has ended or missed its heartbeats too long."""
+        """Return whether an incarnation has ended or was silent for too long."""
         if incarnation in self._ended_incarnations:
             return True
         row = self._membership.members_by_id.get(instance_of(incarnation) or "")
--- a/src/cassiaturn/server/_successor.py
+++ b/src/cassiaturn/server/_successor.py
@@ -80,7 +80,7 @@
     ) -> None:
         """Create the successor logic of one instance.
 
-        :param table: takeovers that this instance has begun.
+        :param table: takeovers known to this instance.
         :param store: table service; None if the settings name none.
         :param addresses_by_target: returns every target that any home may have
             reached.
@@ -286,8 +286,8 @@
 ) -> SubmissionDecision:
     """Return a decision that does not rest on the absence of reports.
 
-    Results and failures that targets reported stay; a "not run" answer, or starting
-    the tasks without a report, becomes "unknown".
+    Results and failures that targets reported stay. A "not run" answer, or a decision
+    to start tasks that no target reported, becomes "unknown".
     """
     if isinstance(decision, TellCaller):
         if decision.answer.outcome is not Outcome.NOT_RUN:
