--- a/src/cassiaturn/server/_caller_service.py
+++ b/src/cassiaturn/server/_caller_service.py
@@ -1,4 +1,4 @@
-"""The callers' interface on an instance."""
+"""The gRPC services that callers use on an instance."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import TypeVar
@@ -13,8 +13,8 @@
 from cassiaturn.engine import Submission
 from cassiaturn.entities import Answer, Outcome
 from cassiaturn.observability import Event, log_event
-from cassiaturn.server._homes import Homes, Identity
 from cassiaturn.server._raw import RawMessage
+from cassiaturn.server._router import Identity, SubmissionRouter
 from cassiaturn.v1 import dispatcher_pb2 as pb
 from cassiaturn.v1.dispatcher_grpc import DispatcherBase
 
@@ -22,33 +22,36 @@
 ReplyT = TypeVar("ReplyT")
 
 MAX_TICKETS = 1000
-"""Tickets of one call."""
+"""Most tickets issued by one call."""
 
 STATUS_BY_OUTCOME = {
     Outcome.FAILED: Status.ABORTED,
     Outcome.NOT_RUN: Status.UNAVAILABLE,
     Outcome.UNKNOWN: Status.UNKNOWN,
 }
-"""Status of a call through an operator's own stub."""
+"""gRPC status by outcome, for calls of a method of an operator's schema."""
 
 
 class CallerService(DispatcherBase):
-    """Submissions, collection, cancellation and tickets."""
+    """Issues tickets; accepts, watches, collects and cancels submissions."""
 
-    def __init__(self, *, homes: Homes) -> None:
-        """Serve from one instance."""
-        self._homes = homes
+    def __init__(self, *, router: SubmissionRouter) -> None:
+        """Create the service of one instance."""
+        self._router = router
 
     async def IssueTickets(  # noqa: N802 - the name is the schema's
         self, stream: "Stream[pb.IssueTicketsRequest, pb.IssueTicketsReply]"
     ) -> None:
-        """Issue ids that name this instance as home, without a store write."""
+        """Issue submission ids that name this instance as home.
+
+        Tickets need no write to the table service.
+        """
         request = await _receive(stream)
-        if not self._homes.takes_work:
+        if not self._router.accepts_submissions:
             raise GRPCError(Status.UNAVAILABLE, "this instance is not ready")
         count = min(max(1, request.count), MAX_TICKETS)
-        tickets = [self._homes.issue_ticket() for _ in range(count)]
-        valid_for_ms = self._homes.ticket_valid_ms
+        tickets = [self._router.issue_ticket() for _ in range(count)]
+        valid_for_ms = self._router.ticket_valid_ms
         await stream.send_message(
             pb.IssueTicketsReply(tickets=tickets, valid_for_ms=valid_for_ms)
         )
@@ -59,7 +62,7 @@
         """Accept a submission, wait for its answer and return it."""
         request = await _receive(stream)
         identity = identity_of(stream)
-        answer = await self._homes.submit(to_submission(request, identity))
+        answer = await self._router.submit(to_submission(request, identity))
         if answer.outcome is Outcome.UNKNOWN:
             log_event(
                 Event.SUBMISSION_UNKNOWN,
@@ -71,9 +74,9 @@
     async def Watch(  # noqa: N802
         self, stream: "Stream[pb.CollectRequest, pb.JobEvent]"
     ) -> None:
-        """Stream progress, then the answer."""
+        """Stream progress events, then the final answer."""
         request = await _receive(stream)
-        async for event in self._homes.watch(
+        async for event in self._router.watch(
             request.submission_id, identity_of(stream)
         ):
             await stream.send_message(event)
@@ -83,15 +86,15 @@
     ) -> None:
         """Return what is known of a submission now."""
         request = await _receive(stream)
-        answer = await self._homes.collect(request.submission_id, identity_of(stream))
+        answer = await self._router.collect(request.submission_id, identity_of(stream))
         await stream.send_message(answer.to_message())
 
     async def Cancel(  # noqa: N802
         self, stream: "Stream[pb.CancelRequest, pb.CancelReply]"
     ) -> None:
-        """Cancel a submission that is not settled."""
+        """Cancel a submission that is not settled yet."""
         request = await _receive(stream)
-        cancelled, answer = await self._homes.cancel(
+        cancelled, answer = await self._router.cancel(
             request.submission_id, identity_of(stream)
         )
         await stream.send_message(
@@ -100,22 +103,24 @@
 
 
 class SchemaService:
-    """Every method of the operators' schemas, as an ordinary gRPC service.
+    """Serves every method of the operators' schemas as an ordinary gRPC method.
 
-    A call becomes a submission of one task, so a caller uses the stub that was
-    generated from its own schema.
+    Each call becomes a submission of one task, so a caller can use the stub that
+    was generated from its own schema.
     """
 
-    def __init__(self, *, homes: Homes, methods: Mapping[str, object]) -> None:
-        """Serve the methods of a schema.
+    def __init__(
+        self, *, router: SubmissionRouter, methods: Mapping[str, object]
+    ) -> None:
+        """Create a service for the methods of a schema.
 
         :param methods: declared methods by full name.
         """
-        self._homes = homes
+        self._router = router
         self._methods = methods
 
     def __mapping__(self) -> Mapping[str, grpclib.const.Handler]:
-        """Return one handler a method, as grpclib expects."""
+        """Return one handler per method, as grpclib expects."""
         return {
             f"/{name}": grpclib.const.Handler(
                 self._handler(name),
@@ -136,14 +141,14 @@
             submission_id = metadata.get(SUBMISSION_KEY)
             deadline = stream.deadline
             submission = Submission(
-                submission_id=str(submission_id or self._homes.issue_ticket()),
+                submission_id=str(submission_id or self._router.issue_ticket()),
                 tenant=identity.tenant,
                 caller=identity.caller,
                 method=name,
                 payloads=(message.content,),
                 deadline_s=deadline.time_remaining() if deadline else 0.0,
             )
-            answer = await self._homes.submit(submission)
+            answer = await self._router.submit(submission)
             await _reply(stream, answer)
 
         return handle
@@ -162,7 +167,7 @@
 
 
 def identity_of(stream: "Stream[MessageT, ReplyT]") -> Identity:
-    """Return who calls, from the call metadata.
+    """Return the caller's identity from the call metadata.
 
     :raises GRPCError: the call names no tenant.
     """
@@ -176,7 +181,7 @@
 
 
 def to_submission(request: pb.SubmitRequest, identity: Identity) -> Submission:
-    """Return the submission that a message asks for."""
+    """Return the submission that a request describes."""
     return Submission(
         submission_id=request.submission_id,
         tenant=identity.tenant,
--- a/src/cassiaturn/server/_instance.py
+++ b/src/cassiaturn/server/_instance.py
@@ -1,4 +1,4 @@
-"""One instance: its tables, its streams and what runs beside them."""
+"""Runs one instance: starts, drains and closes its parts and background tasks."""
 
 import asyncio
 import contextlib
@@ -27,8 +27,8 @@
 )
 from cassiaturn.server._caller_service import CallerService, SchemaService
 from cassiaturn.server._holders import targets_to_hold
+from cassiaturn.server._instance_base import InstanceBase
 from cassiaturn.server._operator_service import OperatorService
-from cassiaturn.server._parts import InstanceParts
 from cassiaturn.server._peer_service import PeerService
 from cassiaturn.server._status import status_of
 from cassiaturn.submission import (
@@ -42,43 +42,47 @@
     MemberState.STARTING: "no shared configuration yet",
     MemberState.LEAVING: "a planned stop is under way",
 }
-"""Why an instance takes nothing new, by its state."""
+"""Why an instance accepts no submissions, by its state."""
 
 LEAVING_NOTICE_S = 0.2
-"""Time for peers to hear that we leave before our listening port closes."""
+"""Time for peers to learn that this instance leaves before its listening port
+closes, in seconds."""
 
-CALM_S = 5.0
-"""Time without a refusal after which an overload is over, in seconds."""
+OVERLOAD_END_S = 5.0
+"""Time without a refusal after which an overload has ended, in seconds."""
 
 CLOSE_TIMEOUT_S = 1.0
-"""Longest wait for the listening port and its connections, in seconds."""
+"""Longest wait for background tasks, or for open connections, to end, in seconds."""
 
-LAST_ANSWER_S = 0.1
-"""Time for the last answers to leave before the connections close, in seconds."""
+LAST_ANSWERS_S = 0.1
+"""Time to send the last answers before the connections close, in seconds."""
 
-DRAIN_STEP_S = 0.02
-"""Pause between two looks at whether everything has ended, in seconds."""
+DRAIN_POLL_S = 0.02
+"""Interval between checks whether all work has ended, in seconds."""
 
 HOLDERS_PERIOD_S = 1.0
-"""Longest time until a changed list of targets is shared out anew, in seconds."""
+"""Longest time until a changed list of targets is distributed, in seconds."""
 
 QUOTA_PERIOD_S = 0.5
-"""Period in which a tenant's quota is split anew: twice a heartbeat."""
+"""Interval between recalculations of this instance's share of each tenant's quota,
+in seconds; twice per heartbeat."""
 
 
-class Instance(InstanceParts):
-    """A running instance; :meth:`start` it, then :meth:`stop` it."""
+class Instance(InstanceBase):
+    """An instance of the dispatcher; call :meth:`start`, later :meth:`stop`."""
 
     async def start(self) -> None:
-        """Open the ports and begin to serve.
+        """Open the listening port and begin to serve.
 
-        :raises OSError: the port is taken or not ours.
+        :raises OSError: the port is in use or may not be opened.
         """
         handlers: list[IServable] = [
-            CallerService(homes=self.homes),
-            SchemaService(homes=self.homes, methods=self.state.schema.methods_by_name),
+            CallerService(router=self.router),
+            SchemaService(
+                router=self.router, methods=self.state.schema.methods_by_name
+            ),
             PeerService(
-                homes=self.homes,
+                router=self.router,
                 peers=self.peers,
                 configuration=self.configuration_json,
             ),
@@ -97,12 +101,15 @@
         self._run(self.claims.delete_old())
 
     async def stop(self) -> None:
-        """Stop without cutting anything: drain, tell the peers, close."""
+        """Stop gracefully: announce it to the peers, drain, then close."""
         await self.drain()
         await self.close()
 
     async def drain(self) -> None:
-        """Take nothing new and wait until everything in flight has ended."""
+        """Accept nothing new and wait until everything in flight has ended.
+
+        The wait is limited by the drain timeout of the settings.
+        """
         log_event(Event.INSTANCE_DRAINING, incarnation=self.incarnation)
         reason = REASONS_NOT_READY[MemberState.LEAVING]
         log_event(Event.INSTANCE_NOT_READY, reason=reason)
@@ -112,17 +119,17 @@
         self._holders_due_at = 0.0
         self.peers.announce()
         limit_s = self.settings.timings.drain_timeout_ms / MILLISECONDS
-        give_up = time.monotonic() + limit_s
+        give_up_at = time.monotonic() + limit_s
         await asyncio.sleep(LEAVING_NOTICE_S)
-        while self._busy() and time.monotonic() < give_up:  # noqa: ASYNC110
-            # Several tables have to be empty at once, so no single event tells.
-            await asyncio.sleep(DRAIN_STEP_S)
-        await asyncio.sleep(LAST_ANSWER_S)
-        if self._busy():
+        while self._has_open_work() and time.monotonic() < give_up_at:  # noqa: ASYNC110
+            # Several tables have to be empty at once, so no single event signals it.
+            await asyncio.sleep(DRAIN_POLL_S)
+        await asyncio.sleep(LAST_ANSWERS_S)
+        if self._has_open_work():
             log_event(Event.DRAIN_TIMED_OUT, open=len(self.state.jobs_by_id))
 
     async def close(self) -> None:
-        """Close every stream and port."""
+        """Close every stream, connection and port without draining."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -133,20 +140,20 @@
         self.platform.close()
         if self._server is not None:
             self._server.end_connections()
-            # Callers keep connections open that nobody uses any more; the loop's
-            # own wait would last until the last of them closes his.
+            # Callers keep idle connections open; without a timeout, the wait would
+            # last until the last caller closes its connection.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CLOSE_TIMEOUT_S):
                     await self._server.wait_closed()
 
     def ready(self) -> Ready:
-        """Return whether new submissions are taken, and why not."""
+        """Return whether new submissions are accepted, and the reason if not."""
         if self.member_state is MemberState.READY:
             return Ready(ready=True)
         return Ready(ready=False, reason=REASONS_NOT_READY[self.member_state])
 
     def status(self) -> StatusDocument:
-        """Return everything that this instance says of itself."""
+        """Return the status document of this instance."""
         return status_of(self)
 
     async def _run_ticks(self) -> None:
@@ -180,7 +187,7 @@
             if self._refused_at is None:
                 log_event(Event.OVERLOAD_STARTED, queued=len(self.state.queue))
             self._refused_at = now
-        elif self._refused_at is not None and now - self._refused_at > CALM_S:
+        elif self._refused_at is not None and now - self._refused_at > OVERLOAD_END_S:
             self._refused_at = None
             log_event(Event.OVERLOAD_ENDED, refused=refused)
 
@@ -189,10 +196,10 @@
         state = self.pauses.tick(now)
         if state is HoldState.HELD and before is not HoldState.HELD:
             log_event(Event.PAUSE_DETECTED, incarnation=self.incarnation)
-            self._run(self._confirm_home())
+            self._run(self._confirm_not_superseded())
         self.state.starts_held = not self.pauses.may_start
 
-    async def _confirm_home(self) -> None:
+    async def _confirm_not_superseded(self) -> None:
         while self.pauses.must_read:
             present = await self.successor.was_taken_over(self.incarnation)
             if present is None:
@@ -204,8 +211,8 @@
             self.state.starts_held = not self.pauses.may_start
 
     def _hold_targets(self) -> None:
-        # The shares of all targets are worked out again only when something may
-        # have changed: at 1,400 targets it takes longer than a tick.
+        # Recalculated only when something may have changed: with 1,400 targets the
+        # calculation takes longer than a tick.
         now = time.monotonic()
         if self.member_state is MemberState.STARTING or now < self._holders_due_at:
             return
@@ -227,7 +234,7 @@
         self._holders_due_at = now
         for change in changes:
             if change.superseded_by:
-                self.successor.proved_dead(change.incarnation, now)
+                self.successor.mark_dead(change.incarnation, now)
 
     def _apply_configuration(self, configuration: SharedConfiguration) -> None:
         tenants = {
@@ -240,7 +247,7 @@
         }
         self.state.tenants_by_name = tenants
         self.state.reconfigure(configuration.applied_to(self.settings.policy))
-        self.targets.drain_shared(configuration.content.drained_targets)
+        self.targets.set_drained_by_configuration(configuration.content.drained_targets)
         self.state.queue.set_weights(
             {name: tenant.weight for name, tenant in tenants.items()}
         )
@@ -267,7 +274,7 @@
         log_event(Event.INCARNATION_FENCED, incarnation=self.incarnation)
         supersede_all(self.state, time.monotonic())
 
-    def _busy(self) -> bool:
+    def _has_open_work(self) -> bool:
         return bool(self.state.jobs_by_id or self.state.in_flight_by_key)
 
     def _run(self, coroutine: Coroutine[None, None, None]) -> None:
@@ -277,11 +284,11 @@
 
 
 def _report_failure(task: "asyncio.Task[None]") -> None:
-    # A loop that ends unseen would leave an instance that answers and does
-    # nothing; a broken invariant has to stop the process instead.
+    # If a background task ended unnoticed, the instance would still answer calls
+    # but do no work. Reporting a violated invariant stops the process instead.
     if task.cancelled() or task.exception() is None:
         return
-    failure = InvariantError(f"a loop of the instance ended: {task.exception()!r}")
+    failure = InvariantError(f"a background task ended: {task.exception()!r}")
     asyncio.get_running_loop().call_exception_handler(
         {"message": str(failure), "exception": failure}
     )
--- a/src/cassiaturn/server/_parts.py
+++ b/src/cassiaturn/server/_instance_base.py
@@ -1,4 +1,4 @@
-"""What an instance is made of, put together."""
+"""Builds the parts of an instance and connects them."""
 
 import asyncio
 import random
@@ -29,16 +29,16 @@
     TakeoverTable,
 )
 from cassiaturn.server._claims import ClaimWriter
-from cassiaturn.server._homes import Homes
 from cassiaturn.server._hosts import HostListReader
 from cassiaturn.server._link import Link
 from cassiaturn.server._offload import Offloader
-from cassiaturn.server._peers import PeerBook, load_of
-from cassiaturn.server._platform import Platform
+from cassiaturn.server._peers import PeerManager, load_of
+from cassiaturn.server._platform import PlatformServices
 from cassiaturn.server._ports import ServerPorts
 from cassiaturn.server._reclaim import Reclaimer
+from cassiaturn.server._router import SubmissionRouter
 from cassiaturn.server._successor import Successor
-from cassiaturn.server._targets import TargetBook
+from cassiaturn.server._targets import TargetManager
 from cassiaturn.settings import InstanceSettings
 from cassiaturn.submission import (
     ClaimLedger,
@@ -55,10 +55,10 @@
 MILLISECONDS = 1000
 
 
-class InstanceParts(ABC):
-    """The tables, streams and loops of one instance, not running yet.
+class InstanceBase(ABC):
+    """The tables, streams and background jobs of one instance, not running yet.
 
-    :class:`Instance` adds how they run and what they tell each other.
+    :class:`Instance` runs them and handles the events that they report.
     """
 
     def __init__(
@@ -68,9 +68,9 @@
         schema: Schema,
         stop_requested: asyncio.Event | None = None,
     ) -> None:
-        """Build the tables; no connection opens yet.
+        """Build the parts; no connection opens yet.
 
-        :param stop_requested: set when a planned stop is asked for.
+        :param stop_requested: set when a planned stop is requested.
         """
         rng = random.Random()
         boot_ms = int(time.time() * MILLISECONDS)
@@ -96,14 +96,16 @@
         self._holders_due_at = 0.0
         self._server: ClosingServer | None = None
         self._superseded = False
-        self.platform = Platform(
+        self.platform = PlatformServices(
             settings=settings.platform, timings=settings.timings, metrics=self.metrics
         )
         self._build_engine(schema)
         self._build_membership()
         self._build_homes()
         self._build_host_list()
-        self.reclaimer = Reclaimer(state=self.state, addresses_in=self._targets_of)
+        self.reclaimer = Reclaimer(
+            state=self.state, addresses_for_peer=self._addresses_for_peer
+        )
         self.configuration = ConfigurationKeeper(
             table=self.platform.table,
             budget=self.budget,
@@ -116,7 +118,7 @@
         )
 
     def configuration_json(self) -> str:
-        """Return the shared configuration in force, for a peer; empty: none."""
+        """Return the shared configuration in force as JSON; empty if there is none."""
         current = self.configuration.view.current
         return to_json(current) if current is not None else ""
 
@@ -161,14 +163,14 @@
             submissions=submissions,
             ports=self.ports,
         )
-        self.targets = TargetBook(state=self.state, holder=self.incarnation)
-        self.targets.know(settings.targets)
+        self.targets = TargetManager(state=self.state, holder=self.incarnation)
+        self.targets.update_targets(settings.targets)
         self.ports.sessions_by_target = self.targets.sessions_by_target
 
     def _build_membership(self) -> None:
         timings = self.settings.timings
         self.membership = MembershipTable(
-            me=MemberRow(facts=self._facts()),
+            me=MemberRow(facts=self._own_facts()),
             settings=MembershipSettings(
                 heartbeat_s=timings.heartbeat_ms / MILLISECONDS,
                 suspect_after_s=timings.suspect_after_ms / MILLISECONDS,
@@ -176,7 +178,7 @@
             ),
             rng=self._rng,
         )
-        self.peers = PeerBook(
+        self.peers = PeerManager(
             state=self.state,
             membership=self.membership,
             addresses_by_instance={
@@ -184,7 +186,7 @@
             },
             links_by_incarnation=self._links_by_incarnation,
             metrics=self.metrics,
-            describe=self._facts,
+            own_facts=self._own_facts,
             on_change=self._on_member_change,
             connect_timeout_s=timings.connect_timeout_ms / MILLISECONDS,
             full_links=self.settings.limits.full_links,
@@ -240,7 +242,7 @@
             max_clock_skew_ms=limits.max_clock_skew_ms,
             ticket_valid_ms=limits.ticket_valid_ms,
         )
-        self.homes = Homes(
+        self.router = SubmissionRouter(
             state=self.state,
             ports=self.ports,
             issuer=TicketIssuer(
@@ -256,12 +258,12 @@
         self.offloader = Offloader(
             submissions=self.state.submissions,
             objects=self.platform.objects,
-            kept_s=limits.result_retention_ms / MILLISECONDS,
+            retention_s=limits.result_retention_ms / MILLISECONDS,
         )
-        self.homes.fetch_results = self.offloader.fetch
+        self.router.fetch_results = self.offloader.fetch
 
-    def _targets_of(self, incarnation: str) -> dict[str, Address]:
-        """Return the targets that another instance may have started tasks at."""
+    def _addresses_for_peer(self, incarnation: str) -> dict[str, Address]:
+        """Return the targets at which a peer incarnation may have started tasks."""
         domains = self.peers.domains_by_incarnation.get(incarnation, set())
         return {
             target_id: target.address
@@ -279,7 +281,7 @@
             rng=self._rng,
         )
 
-    def _facts(self) -> MemberFacts:
+    def _own_facts(self) -> MemberFacts:
         slots, free_slots, queued, wait_ms = load_of(self.state)
         configuration = getattr(self, "configuration", None)
         return MemberFacts(
@@ -302,16 +304,16 @@
 
     @abstractmethod
     def _on_member_change(self, changes: Sequence[MemberChange]) -> None:
-        """Take the members whose state changed."""
+        """Handle state changes of members."""
 
     @abstractmethod
     def _apply_configuration(self, configuration: SharedConfiguration) -> None:
-        """Put a shared configuration in force."""
+        """Apply a shared configuration."""
 
     @abstractmethod
     def _on_settled(self, answer: Answer, job: Job | None) -> None:
-        """Take an answer that was settled."""
+        """Handle a settled answer; the job is None for a refused submission."""
 
     @abstractmethod
     def _on_superseded(self) -> None:
-        """Take the news that targets fence this incarnation."""
+        """Handle the takeover of this incarnation by a successor."""
--- a/src/cassiaturn/server/_link.py
+++ b/src/cassiaturn/server/_link.py
@@ -1,4 +1,4 @@
-"""One long-lived stream between two instances."""
+"""A long-lived stream of frames between two instances."""
 
 import asyncio
 import time
@@ -17,32 +17,32 @@
 MILLISECONDS = 1000
 
 RECONNECT_PAUSE_S = 0.5
-"""Pause after a link was lost; half a heartbeat period."""
+"""Pause before reconnecting a lost link, in seconds; half a heartbeat period."""
 
 LINK_ERRORS = (OSError, GRPCError, ProtocolError, StreamTerminatedError, TimeoutError)
-"""What the loss of a link raises."""
+"""Exceptions that the loss of a link raises."""
 
 
 class FrameStream(Protocol):
-    """The two ends of a grpclib stream have these in common."""
+    """Methods common to the client and server side of a grpclib stream."""
 
     async def send_message(self, message: PeerFrame) -> None:
         """Send one frame."""
 
     async def recv_message(self) -> PeerFrame | None:
-        """Return the next frame; None at the end."""
+        """Return the next frame; None at the end of the stream."""
 
     def __aiter__(self) -> AsyncIterator[PeerFrame]:
-        """Iterate over the frames."""
+        """Iterate over the received frames."""
 
 
 class Link:
-    """A stream to one incarnation of a peer, whoever opened it."""
+    """A stream to one incarnation of a peer, opened by either side."""
 
     def __init__(self, *, incarnation: str) -> None:
-        """Start with nothing to send.
+        """Start with an empty outbox.
 
-        :param incarnation: the peer's, from its first frame.
+        :param incarnation: the peer's incarnation, from its first frame.
         """
         self.incarnation = incarnation
         self.outbox: Outbox[PeerFrame] = Outbox(make=PeerFrame)
@@ -56,14 +56,15 @@
     def peer_clock(self, now: float) -> int:
         """Return a lower bound of the peer's own clock, in milliseconds.
 
-        The peer stamped its latest frame before it was read here, so the stamp
-        plus the time since never passes the peer's clock. A deadline built on
-        it can only be too early: a frame that waits in the peer's buffer while
-        its process is stopped is then late when it is read.
+        The peer set the timestamp of its latest frame before the frame was read
+        here, so the timestamp plus the time since then never exceeds the peer's
+        clock. A deadline based on it can only be too early: if the peer's process
+        is stopped while a frame waits in its buffer, the peer finds the frame
+        late when it reads it.
         """
         return self._clock_ms + int((now - self._clock_seen_at) * MILLISECONDS)
 
-    def _note(self, frame: PeerFrame) -> None:
+    def _record_received(self, frame: PeerFrame) -> None:
         self.heard_at = time.monotonic()
         self._clock_ms = frame.clock_ms
         self._clock_seen_at = self.heard_at
@@ -73,23 +74,23 @@
         stream: FrameStream,
         *,
         first: PeerFrame,
-        stamp: Callable[["Link", PeerFrame], None],
+        before_send: Callable[["Link", PeerFrame], None],
         on_frame: Callable[["Link", PeerFrame], None],
     ) -> None:
         """Exchange frames until either side ends or :attr:`closed` is set.
 
         :param first: the peer's first frame, already read.
-        :param stamp: adds what rides on every frame that is sent.
-        :param on_frame: takes each frame received.
+        :param before_send: completes each frame just before it is sent.
+        :param on_frame: called with each received frame, the first included.
         """
 
         async def send(frame: PeerFrame) -> None:
-            stamp(self, frame)
+            before_send(self, frame)
             frame.clock_ms = int(time.monotonic() * MILLISECONDS)
             self.sent_at = time.monotonic()
             await stream.send_message(frame)
 
-        self._note(first)
+        self._record_received(first)
         on_frame(self, first)
         jobs = [
             asyncio.ensure_future(self.outbox.pump(send)),
@@ -109,39 +110,40 @@
         self, stream: FrameStream, on_frame: Callable[["Link", PeerFrame], None]
     ) -> None:
         while (frame := await stream.recv_message()) is not None:
-            self._note(frame)
+            self._record_received(frame)
             self.frames_received += 1
             on_frame(self, frame)
 
 
 class LinkDialer:
-    """Keeps a link to one peer open, from the instance with the lower id."""
+    """Connects to one peer and reconnects whenever the link is lost."""
 
     def __init__(
         self,
         *,
         address: Address,
-        hello: Callable[[], PeerFrame],
+        first_frame: Callable[[], PeerFrame],
         serve: Callable[[FrameStream, PeerFrame], Awaitable[None]],
         on_refused: Callable[[], None],
         connect_timeout_s: float,
     ) -> None:
-        """Prepare to connect; :meth:`run` does.
+        """Create the dialer; :meth:`run` connects.
 
         :param address: where the peer listens.
-        :param hello: makes the first frame, a heartbeat.
-        :param serve: runs the link once the peer's first frame is read.
+        :param first_frame: returns the first frame to send, a heartbeat.
+        :param serve: runs the link once the peer's first frame has been read.
         :param on_refused: called when nothing listens at the address.
-        :param connect_timeout_s: longest wait for that frame, in seconds.
+        :param connect_timeout_s: longest wait for the peer's first frame, in
+            seconds.
         """
         self._address = address
-        self._hello = hello
+        self._first_frame = first_frame
         self._serve = serve
         self._on_refused = on_refused
         self._connect_timeout_s = connect_timeout_s
 
     async def run(self) -> None:
-        """Connect, serve the link, and connect again, until cancelled."""
+        """Connect, serve the link and reconnect, until cancelled."""
         while True:
             channel = Channel(self._address.host, self._address.port)
             try:
@@ -157,12 +159,12 @@
     async def _serve_once(self, channel: Channel) -> None:
         async with PeerStub(channel).Link.open() as stream:
             async with asyncio.timeout(self._connect_timeout_s):
-                await stream.send_message(self._hello())
+                await stream.send_message(self._first_frame())
                 first = await stream.recv_message()
             if first is None:
                 return
             try:
                 await self._serve(stream, first)
             finally:
-                # The peer's process may be stopped and never read the end.
+                # A stopped peer process would never read the end of the stream.
                 await stream.cancel()
--- a/src/cassiaturn/server/_platform.py
+++ b/src/cassiaturn/server/_platform.py
@@ -1,4 +1,4 @@
-"""Connections to the platform's services, as far as the settings name them."""
+"""Clients of the platform's services that the settings name."""
 
 from cassiaturn.observability import Metrics, ObservedTable
 from cassiaturn.services import (
@@ -15,8 +15,8 @@
 MILLISECONDS = 1000
 
 
-class Platform:
-    """The three services; one that is not named is None."""
+class PlatformServices:
+    """Table service, object store and host list; None if not in the settings."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         timings: TimingSettings,
         metrics: Metrics,
     ) -> None:
-        """Prepare the connections, which open on first use."""
+        """Create the clients; connections open on first use."""
         self._timeout_s = timings.store_timeout_ms / MILLISECONDS
         self._callers: list[HttpCaller] = []
         self.table: TableService | None = None
--- a/src/cassiaturn/server/_homes.py
+++ b/src/cassiaturn/server/_router.py
@@ -1,4 +1,8 @@
-"""Finds the home of each submission and gets its answer from there."""
+"""Routes calls about a submission to its home and returns the answer.
+
+The home is the instance incarnation that owns a submission. A ticket names it; for
+a caller-chosen id, the claim row in the table service does.
+"""
 
 import asyncio
 import time
@@ -7,8 +11,8 @@
 
 from cassiaturn.engine import State, Submission, cancel, dispatch, pending, submit
 from cassiaturn.entities import Answer, Outcome, Ran, Reason
-from cassiaturn.server._claims import ClaimWriter, LookUp
-from cassiaturn.server._peers import PeerBook
+from cassiaturn.server._claims import ClaimWriter, NoClaimReason
+from cassiaturn.server._peers import PeerManager
 from cassiaturn.server._ports import ServerPorts
 from cassiaturn.server._successor import Successor
 from cassiaturn.submission import (
@@ -24,27 +28,29 @@
 from cassiaturn.v1 import dispatcher_pb2, peer_pb2
 
 MAX_HOPS = 2
-"""Forwards of one call: to the home, and once more to a home's successor."""
+"""Most forwards of one call: to the home, and once more to its successor."""
 
 MONITORS_ASKED = 2
-"""Neighbours of a silent home that are asked, one after the other."""
+"""Most neighbours of an unreachable home that are asked, one after the other."""
 
 WATCH_PERIOD_S = 0.2
-"""Time between two progress events of a watched job, in seconds."""
+"""Interval between progress checks of a watched job, in seconds."""
 
-LONGEST_WAIT_S = 3600.0
-"""Wait for a submission whose caller set no deadline, in seconds."""
+MAX_WAIT_S = 3600.0
+"""Longest wait for a submission without a deadline, in seconds."""
 
-SHORTEST_S = 0.001
-"""Deadline of a submission whose time ran out while its id was claimed."""
+MIN_DEADLINE_S = 0.001
+"""Deadline, in seconds, of a submission whose time ran out while its id was claimed;
+0 would mean no deadline."""
 
 UNKNOWN_RETRY_MS = 200
-"""Advice with ``UNKNOWN``: a fence of every target takes about as long."""
+"""Retry advice with ``UNKNOWN`` answers, in milliseconds; fencing every target takes
+about as long."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """Who calls, from the call metadata."""
+    """Identity of a caller, from the call metadata."""
 
     tenant: str
     """Tenant of the call."""
@@ -54,15 +60,15 @@
 
 
 FetchResults = Callable[[str], Awaitable[Sequence[bytes] | None]]
-"""Returns results by their key in the object store; None: not to be had now."""
+"""Returns results by object key; None if they cannot be read now."""
 
 
 async def _fetch_nothing(_: str) -> Sequence[bytes] | None:
     return None
 
 
-class Homes:
-    """Routes by submission id: served here, forwarded, or taken over."""
+class SubmissionRouter:
+    """Routes by submission id: serves the call here, forwards it, or takes over."""
 
     def __init__(
         self,
@@ -71,11 +77,15 @@
         ports: ServerPorts,
         issuer: TicketIssuer,
         ticket_valid_ms: int,
-        peers: PeerBook,
+        peers: PeerManager,
         claims: ClaimWriter,
         successor: Successor,
     ) -> None:
-        """Route for one instance."""
+        """Create the router of one instance.
+
+        :param ticket_valid_ms: validity of issued tickets, in milliseconds.
+        :param successor: decides submissions whose home has ended.
+        """
         self._state = state
         self._ports = ports
         self._issuer = issuer
@@ -85,29 +95,32 @@
         self._me = state.settings.incarnation
         self.ticket_valid_ms = ticket_valid_ms
         self.fetch_results: FetchResults = _fetch_nothing
-        """Set once the object store's user stands."""
-        self._openings: set[asyncio.Task[str | Answer]] = set()
+        """Set after construction, once the offloader exists."""
+        self._claim_tasks: set[asyncio.Task[str | Answer]] = set()
 
     @property
-    def takes_work(self) -> bool:
-        """Whether new submissions are taken.
+    def accepts_submissions(self) -> bool:
+        """Whether new submissions are accepted.
 
-        Not before a shared configuration is known, and not once a planned stop or
-        a takeover is under way.
+        They are not before a shared configuration is known, during a planned
+        stop, or after a successor took over.
         """
         state = self._state
         closed = state.draining or state.superseded
         return bool(state.tenants_by_name) and not closed
 
     def issue_ticket(self) -> str:
-        """Return a submission id that names this instance."""
+        """Return a submission id that names this instance as home."""
         return self._issuer.issue(time.monotonic())
 
     async def submit(self, submission: Submission, *, hops: int = 0) -> Answer:
-        """Return the answer of a submission, from its home."""
+        """Return the answer of a submission from its home.
+
+        :param hops: how often the call was forwarded already.
+        """
         home = self._ticket_home(submission.submission_id)
         if home is None:
-            home = await self._own_id_home(submission)
+            home = await self._claim_home(submission)
         if isinstance(home, Answer):
             if home.outcome is Outcome.PENDING:
                 return await self._ports.wait(submission.submission_id)
@@ -125,7 +138,7 @@
             submit=_to_message(submission),
             hops=hops + 1,
         )
-        wait_s = submission.deadline_s or LONGEST_WAIT_S
+        wait_s = submission.deadline_s or MAX_WAIT_S
         reply = await self._peers.forwards.forward(owner, request, timeout_s=wait_s)
         if reply is None:
             reply = await self._ask_monitors(owner, request, wait_s)
@@ -136,8 +149,8 @@
     async def _ask_monitors(
         self, owner: str, request: peer_pb2.ForwardRequest, wait_s: float
     ) -> peer_pb2.ForwardReply | None:
-        """Send a submission to those who can tell whether its home is gone."""
-        if request.hops >= MAX_HOPS or self._peers.hears(owner):
+        """Send a submission to instances that can detect the failure of its home."""
+        if request.hops >= MAX_HOPS or self._peers.exchanges_heartbeats_with(owner):
             return None
         for instance_id in self._peers.monitors_of(owner)[:MONITORS_ASKED]:
             reply = await self._peers.forwards.forward_to(
@@ -150,7 +163,10 @@
     async def collect(
         self, submission_id: str, identity: Identity, *, hops: int = 0
     ) -> Answer:
-        """Return what is known of a submission now."""
+        """Return the present answer of a submission.
+
+        :param hops: how often the call was forwarded already.
+        """
         home = await self._known_home(submission_id)
         if isinstance(home, Answer):
             return home
@@ -177,7 +193,8 @@
     ) -> tuple[bool, Answer]:
         """Cancel a submission at its home.
 
-        :returns: whether this settled it, and the answer that stands.
+        :param hops: how often the call was forwarded already.
+        :returns: whether this call settled it, and the answer in force.
         """
         home = await self._known_home(submission_id)
         if isinstance(home, Answer):
@@ -227,7 +244,10 @@
             await asyncio.sleep(WATCH_PERIOD_S)
 
     def _ticket_home(self, submission_id: str) -> str | Answer | None:
-        """Return the home that a ticket names; None for a caller's own id."""
+        """Return the home that a ticket names, or the answer to a malformed id.
+
+        :returns: None for a caller-chosen id without a record here.
+        """
         match parse_ticket(submission_id):
             case Ticket(home=home):
                 return home
@@ -242,16 +262,16 @@
             return self._me
         return None
 
-    async def _own_id_home(self, submission: Submission) -> str | Answer:
-        """Claim a caller's own id; an id that becomes ours is opened at once.
+    async def _claim_home(self, submission: Submission) -> str | Answer:
+        """Claim a caller-chosen id and open the submission if the claim succeeds.
 
-        The claim goes on when the caller hangs up. Otherwise a claim that
-        succeeds unseen would leave an id that nobody may ever open.
+        The claim continues when the caller hangs up. Otherwise a claim could
+        succeed unnoticed and leave an id that no instance may ever open.
         """
         opening = asyncio.create_task(self._claim_and_open(submission))
-        self._openings.add(opening)
-        opening.add_done_callback(self._openings.discard)
-        wait_s = submission.deadline_s or LONGEST_WAIT_S
+        self._claim_tasks.add(opening)
+        opening.add_done_callback(self._claim_tasks.discard)
+        wait_s = submission.deadline_s or MAX_WAIT_S
         done, _ = await asyncio.wait({opening}, timeout=wait_s)
         if not done:
             return _store_unreachable(submission.submission_id)
@@ -264,11 +284,13 @@
             case ClaimGranted():
                 left_s = submission.deadline_s - (time.monotonic() - began)
                 if submission.deadline_s:
-                    submission = replace(submission, deadline_s=max(left_s, SHORTEST_S))
+                    submission = replace(
+                        submission, deadline_s=max(left_s, MIN_DEADLINE_S)
+                    )
                 return self._open(submission)
             case ClaimTaken(home=home):
                 if home == self._me:
-                    return self._own_row(submission_id)
+                    return self._answer_own_claim(submission_id)
                 return home
             case ClaimUndetermined():
                 return _store_unreachable(submission_id)
@@ -280,18 +302,18 @@
             return home
         if self._state.submissions.get(submission_id) is not None:
             return self._me
-        found = await self._claims.look_up(submission_id)
+        found = await self._claims.find_home(submission_id)
         match found:
-            case LookUp.ABSENT:
+            case NoClaimReason.ABSENT:
                 return self._state.submissions.forgotten_answer(submission_id)
-            case LookUp.UNKNOWN:
+            case NoClaimReason.UNKNOWN:
                 return _store_unreachable(submission_id)
             case _:
                 return found
 
-    def _own_row(self, submission_id: str) -> str | Answer:
-        # The claim is this process's own but the record was dropped: starting
-        # the tasks again could run them twice.
+    def _answer_own_claim(self, submission_id: str) -> str | Answer:
+        # This process holds the claim. If it dropped the record, starting the
+        # tasks again could run them twice.
         if self._state.submissions.get(submission_id) is not None:
             return self._me
         return self._state.submissions.forgotten_answer(submission_id)
@@ -309,12 +331,12 @@
         return await self._ports.wait(submission.submission_id)
 
     async def _with_results(self, answer: Answer) -> Answer:
-        """Return an answer whole, with the results that were moved away."""
+        """Return an answer with its results, read back if they were offloaded."""
         if not answer.result_object or answer.results:
             return answer
         results = await self.fetch_results(answer.result_object)
         if results is None:
-            # Complete without its results would be a partial answer.
+            # A complete outcome without its results would be a partial answer.
             return _results_unreachable(answer)
         return replace(answer, results=results, result_object="")
 
@@ -341,7 +363,7 @@
 
 
 def unreachable(submission_id: str, home: str) -> Answer:
-    """Return what an instance says that cannot reach the home."""
+    """Return the answer of an instance that cannot reach the home."""
     return Answer.unknown(
         submission_id,
         Reason.HOME_UNREACHABLE,
@@ -354,7 +376,7 @@
     return Answer.unknown(
         submission_id,
         Reason.STORE_UNREACHABLE,
-        "the table service did not say whose this id is; submit it again",
+        "the table service did not return the owner of this id; submit it again",
         retry_after_ms=UNKNOWN_RETRY_MS,
     )
 
@@ -365,7 +387,7 @@
         outcome=Outcome.UNKNOWN,
         ran=Ran.EVERYTHING,
         reason=Reason.STORE_UNREACHABLE,
-        detail="it is complete, but the object store with its results is silent",
+        detail="it is complete, but the object store did not return its results",
         retry_after_ms=UNKNOWN_RETRY_MS,
         tasks_done=answer.tasks_done,
         tasks_total=answer.tasks_total,
@@ -373,7 +395,7 @@
 
 
 def _invalid(submission_id: str, problem: str) -> Answer:
-    # No instance opens such an id, so nothing ever runs under it.
+    # No instance accepts such an id, so no task ever runs under it.
     return Answer(
         submission_id=submission_id,
         outcome=Outcome.NOT_RUN,
