--- a/src/cassiaturn/policy/_admission.py
+++ b/src/cassiaturn/policy/_admission.py
@@ -111,6 +111,8 @@
 ) -> _Problem | None:
     limit_s = request.deadline_in_s * settings.safety * limit_scale
     excess_s = estimate.wait_s + estimate.job_s - limit_s
+    # On idle slots only the deadline itself applies, without the safety margin; the
+    # previous check enforces it.
     is_idle = estimate.wait_s == 0.0 and estimate.job_s == estimate.idle_job_s
     if excess_s <= 0.0 or is_idle:
         return None
--- a/src/cassiaturn/policy/_class_queues.py
+++ b/src/cassiaturn/policy/_class_queues.py
@@ -1,4 +1,4 @@
-"""Priority of the request classes: urgent first, with a minimum share for the rest.
+"""Orders request classes: urgent first, with a minimum share for the others.
 
 Load pattern: urgent work that fills every slot for minutes. With strict priority
 the other classes would starve, and every job of theirs would miss its deadline.
@@ -54,15 +54,17 @@
         :param service_s: expected run time of the task, in seconds.
         """
         served.mean_run_s += _LEARNING_RATE * (service_s - served.mean_run_s)
-        is_lower = False
-        is_behind_queue = False
+        is_below_served = False
+        is_higher_queued = False
         for class_queue in self._queues:
             if class_queue is served:
-                is_lower = True
-                if is_behind_queue or class_queue.credit_s > 0.0:
+                is_below_served = True
+                # Service ahead of a queued higher class, or while credit is left,
+                # uses up credit.
+                if is_higher_queued or class_queue.credit_s > 0.0:
                     class_queue.credit_s -= service_s
             elif class_queue.queued:
-                if is_lower:
+                if is_below_served:
                     class_queue.credit_s += class_queue.floor * service_s
                 else:
-                    is_behind_queue = True
+                    is_higher_queued = True
--- a/src/cassiaturn/policy/_placement.py
+++ b/src/cassiaturn/policy/_placement.py
@@ -5,14 +5,13 @@
 eager spilling, several instances send to the same free slot and all but one of the
 sends are wasted.
 
-Grounds: a peer's report is as old as its heartbeat, and every other instance sees
-the same one. So a sender claims only a share of the reported free slots, subtracts
-its own sends from them, chooses among peers in proportion to their free slots (join
-idle queue with a random tie break, which does not herd), and sends to another
-failure domain only if the wait saved outweighs the latency. The last free slots of
-each instance are reserved for higher classes (trunk reservation), but only while a
-peer reports free slots: lower classes then have somewhere to go, and no throughput
-is lost.
+Grounds: a peer's report is as old as its heartbeat, and every other instance sees the
+same one. So a sender claims only a share of the reported free slots, subtracts its own
+sends from them, chooses among peers at random in proportion to their free slots (join
+idle queue with a random tie break, which avoids herding), and sends to another failure
+domain only if the wait saved outweighs the latency. The last free slots of each
+instance are reserved for higher classes (trunk reservation), but only while a peer
+reports free slots: lower classes then have somewhere to go, and no throughput is lost.
 """
 
 from collections.abc import Sequence
@@ -123,7 +122,7 @@
             task.may_use_spare = True
             return None
         may_leave_domain = own_wait_s >= spill_after_s + settings.far_extra_s
-        wait_below_s = own_wait_s * settings.hysteresis
+        peer_wait_limit_s = own_wait_s * settings.hysteresis
         in_same_domain: list[PeerRow] = []
         in_other_domains: list[PeerRow] = []
         for peer in candidates:
@@ -133,7 +132,7 @@
                 continue
             if claimed and claimed >= (free + claimed) * settings.claim_share:
                 continue
-            if peer.expected_wait_s >= wait_below_s:
+            if peer.expected_wait_s >= peer_wait_limit_s:
                 continue
             if peer.failure_domain == self._failure_domain:
                 in_same_domain.append(peer)
--- a/src/cassiaturn/policy/_queue_tables.py
+++ b/src/cassiaturn/policy/_queue_tables.py
@@ -153,9 +153,10 @@
         self.expiry_bucket: int | None = None
 
     def update_level(self, base_s: float) -> None:
-        """Set the rank from the lesser of attained and remaining service.
+        """Set the level from the lesser of attained and remaining service.
 
-        Each further level covers twice the service of the one before.
+        Each further level covers twice the service of the one before. Jobs of the
+        lowest level are served first, so the level is stored as the virtual time.
 
         :param base_s: service covered by the first level, in seconds.
         """
--- a/src/cassiaturn/policy/_ranking.py
+++ b/src/cassiaturn/policy/_ranking.py
@@ -19,7 +19,7 @@
 
 
 class Member:
-    """Base of what a :class:`Ranking` orders: queued tasks of one account."""
+    """Base class of the entries of a :class:`Ranking`: queued tasks of one account."""
 
     __slots__ = ("account", "entry_key", "queued")
 
@@ -65,7 +65,8 @@
         member.entry_key = key
         heappush(self._heap, (key, next(self._numbers), member))
         # Refunds leave stale entries behind, which would outnumber the members
-        # without a bound. A rebuild once they are the majority costs O(1) each.
+        # without a bound. Rebuilding the heap once they are the majority costs
+        # amortised O(1) per entry.
         if len(self._heap) > 2 * self._valid + _COMPACT_SLACK:
             self._compact()
 
--- a/src/cassiaturn/policy/_retries.py
+++ b/src/cassiaturn/policy/_retries.py
@@ -1,9 +1,9 @@
 """Decides whether and when a failed task is started again.
 
 Load pattern: a store, a failure domain or all targets fail at once, and each
-failure asks for another start. Without a budget the load is multiplied by the
-number of attempts when the least of it can be served (retry storm), and it stays
-high after the cause is gone.
+failed task is due to be started again. Without a budget the load is multiplied by
+the number of attempts just when capacity is lowest (retry storm), and it stays high
+after the cause is gone.
 
 Grounds: a retry budget as a ratio of the successes bounds the extra load to that
 ratio in steady state (the Google SRE book and Finagle use 10%). Refused starts cost
--- a/src/cassiaturn/policy/_selection.py
+++ b/src/cassiaturn/policy/_selection.py
@@ -1,4 +1,4 @@
-"""Search for the next task, which looks only at the first task of each queue."""
+"""Finds the next task to start by looking only at the first task of each queue."""
 
 from collections.abc import Callable, Set
 from typing import TypeAlias
@@ -14,8 +14,7 @@
     """Finds the job whose first task is the next to start.
 
     Tasks of one method use the same resources, so a method without a free target
-    is skipped for the rest of a search. It cannot block the methods queued behind
-    it.
+    is skipped for the rest of a search and does not block other methods.
     """
 
     __slots__ = ("_drop_expired", "_has_credit", "_unfit_methods")
--- a/src/cassiaturn/policy/_settings.py
+++ b/src/cassiaturn/policy/_settings.py
@@ -195,8 +195,8 @@
     """Largest number of retries saved up."""
 
     trickle_per_s: float = 0.5
-    """Retries earned per second regardless of results, so that an idle site may
-    retry."""
+    """Retries earned per second regardless of results, so that an idle instance
+    may retry."""
 
     max_attempts: int = 3
     """Largest number of runs of a task."""
--- a/src/cassiaturn/policy/tests/test_admission.py
+++ b/src/cassiaturn/policy/tests/test_admission.py
@@ -102,7 +102,7 @@
     assert min(tenths.count(tenth) for tenth in range(10)) > 60
 
 
-def test_a_job_that_can_never_fit_is_not_told_to_come_back() -> None:
+def test_a_job_that_can_never_fit_gets_no_retry_time() -> None:
     decision = decide(make_request(tasks=750), make_load())
     assert isinstance(decision, Refuse)
     assert decision.retry_after_s == 0.0
@@ -120,7 +120,7 @@
         # A small job finishes in time whatever else runs.
         (23.0, 8, 1, None),
         (23.0, 8, 20, Reason.QUOTA),
-        # Slots are left over for it.
+        # Small jobs leave enough slots for it.
         (12.0, 8, 20, None),
         # The tenant is within its quota.
         (23.0, 1, 20, None),
@@ -152,6 +152,7 @@
 
 
 def test_large_batch_jobs_over_quota_are_not_limited_to_unused_slots() -> None:
+    """Guards against refusing batch jobs for the load of batch work itself."""
     admission = Admission(settings=AdmissionSettings())
     batch = RequestClass.BATCH
     for second in range(30):
@@ -172,6 +173,7 @@
 
 
 def test_batch_wait_depends_on_slots_that_higher_classes_leave() -> None:
+    """Guards against batch jobs that are admitted and dropped at the deadline."""
     admission = Admission(settings=AdmissionSettings())
     observe_used_slots(admission, 20.0)
     batch = RequestClass.BATCH
@@ -185,6 +187,7 @@
 
 
 def test_refusal_ends_at_a_lower_load_than_it_starts() -> None:
+    """Guards against instances that alternate between overload and refusal."""
     admission = Admission(settings=AdmissionSettings())
     request = make_request()
     outcomes = [
--- a/src/cassiaturn/policy/tests/test_fair_queue.py
+++ b/src/cassiaturn/policy/tests/test_fair_queue.py
@@ -66,6 +66,7 @@
 
 
 def test_a_hot_caller_does_not_starve_others_of_its_tenant() -> None:
+    """Guards against a caller with 500 queued jobs that delays all other callers."""
     queue = make_queue()
     push_jobs(queue, "hot", 500, caller="hot")
     push_jobs(queue, "calm", 5, caller="calm")
@@ -74,6 +75,7 @@
 
 
 def test_short_jobs_overtake_a_long_one() -> None:
+    """Guards against a job of many tasks that delays every short job behind it."""
     queue = make_queue()
     for index in range(100):
         queue.push(make_task("long", index, job_remaining=100))
@@ -109,6 +111,7 @@
 
 
 def test_a_method_without_a_free_target_does_not_block_others() -> None:
+    """Guards against head-of-line blocking by a method that no free target fits."""
     queue = make_queue()
     push_jobs(queue, "a", 100, method="train", caller="one")
     push_jobs(queue, "b", 1, method="price", caller="two")
--- a/src/cassiaturn/policy/tests/test_health.py
+++ b/src/cassiaturn/policy/tests/test_health.py
@@ -62,6 +62,7 @@
 
 
 def test_a_target_without_results_is_ejected_for_overdue_tasks() -> None:
+    """Guards against a hanging target that stays in use as it reports no result."""
     pool = Pool()
     pool.run(1.0)
     for index in range(8):
@@ -71,6 +72,7 @@
 
 
 def test_a_target_that_fails_everything_is_ejected() -> None:
+    """Guards against a target that attracts work because it fails quickly."""
     pool = Pool()
     pool.run(1.0)
     pool.run(1.0, ok=lambda target: target != "r0")
@@ -115,6 +117,7 @@
 
 
 def test_failures_of_all_targets_eject_none() -> None:
+    """Guards against ejections for a common cause, such as a failed store."""
     pool = Pool()
     pool.run(1.0)
     pool.run(2.0, ok=lambda _: False)
@@ -122,6 +125,7 @@
 
 
 def test_a_few_long_tasks_do_not_make_a_target_slow() -> None:
+    """Guards against ejections because one task in five is long."""
     pool = Pool()
     pool.run(1.0)
     numbers = iter(range(10_000))
@@ -143,6 +147,7 @@
 
 
 def test_only_target_is_never_ejected() -> None:
+    """Guards against an instance that ejects its only target and has no slots."""
     health = TargetHealth(settings=HealthSettings())
     health.add("r0", 8)
     for index in range(20):
@@ -154,6 +159,7 @@
 
 
 def test_events_of_lost_and_unknown_targets_are_accepted() -> None:
+    """Guards against errors when events arrive after their target was removed."""
     health = TargetHealth(settings=HealthSettings())
     health.add("r0", 8)
     health.started("r0", TaskKey("s", 0), "price", 0.0)
--- a/src/cassiaturn/policy/tests/test_placement.py
+++ b/src/cassiaturn/policy/tests/test_placement.py
@@ -45,14 +45,14 @@
 ) -> None:
     """A target on probation, with an allowance below its slots, is free.
 
-    It may still fail tasks. A failed deck order must not run again, so its whole
-    job would fail; it goes to another target.
+    It may still fail tasks. A failed task that is not repeatable must not run again,
+    so its whole job would fail; it goes to another target.
     """
     task = make_task(repeatable=repeatable)
     assert (choose_target(task, [make_target(allowance=1)]) is not None) is fits
 
 
-def test_accelerators_are_counted_whole() -> None:
+def test_an_accelerator_is_not_shared_by_tasks() -> None:
     task = make_task(resources=Resources(accelerators=1))
     target = make_target()
     assert choose_target(task, [target]) is target
@@ -178,6 +178,7 @@
 
 
 def test_instances_do_not_all_pick_the_same_peer() -> None:
+    """Guards against herding: all instances see the same reports of free slots."""
     placement = Placement(settings=PlacementSettings(), failure_domain="osu")
     peers = [make_peer(f"i{index}", free_slots=2 * index + 2) for index in range(3)]
     chosen: Counter[str] = Counter()
--- a/src/cassiaturn/policy/tests/test_retries.py
+++ b/src/cassiaturn/policy/tests/test_retries.py
@@ -44,7 +44,7 @@
 
 
 def test_when_everything_fails_retries_end_with_the_budget() -> None:
-    """Every target fails at once, and thousands of tasks ask for another start.
+    """Every target fails at once, and thousands of tasks are due for a retry.
 
     Without a budget the load would triple at that time. Only the retries saved up
     by earlier successes are allowed.
@@ -64,13 +64,13 @@
     assert retries == pytest.approx(1000 * SETTINGS.share, abs=2)
 
 
-def test_an_idle_site_earns_retries_over_time() -> None:
+def test_an_idle_instance_earns_retries_over_time() -> None:
     budget = RetryBudget(settings=SETTINGS)
     fail(budget, 100)
     assert fail(budget, 10, now=4.0) == 4.0 * SETTINGS.trickle_per_s
 
 
-def test_refused_starts_are_paced_and_cost_no_budget() -> None:
+def test_refused_starts_are_delayed_and_cost_no_budget() -> None:
     budget = RetryBudget(settings=SETTINGS)
     delays = []
     for attempt in range(1, 12):
