--- a/src/cassiaturn/engine/__init__.py
+++ b/src/cassiaturn/engine/__init__.py
@@ -2,6 +2,12 @@
 
 The engine performs no I/O, never blocks and reads no clock: the server, or a test,
 passes in events with their times and implements :class:`Ports`.
+
+The home of a submission is the instance that accepts it and settles its answer. It
+starts the tasks on the targets (back ends) that it holds, or spills them: it sends them
+to a peer, another instance, which starts them on its own targets. An incarnation is one
+process of an instance. Once a successor has taken over, targets fence the old
+incarnation: they refuse its starts.
 """
 
 from cassiaturn.engine._dispatch import dispatch, expected_wait_s
--- a/src/cassiaturn/engine/_dispatch.py
+++ b/src/cassiaturn/engine/_dispatch.py
@@ -1,8 +1,8 @@
 """Dispatches queued tasks: first to free slots of this instance, then to peers.
 
 A task is bound to a slot only when it is sent, so no task queues behind a long one
-at a target. No probes are needed, since the holder of a target counts its slots
-exactly.
+at a target. No probes are needed, since the instance that holds a target counts its
+slots exactly.
 """
 
 from collections.abc import Iterable
@@ -49,15 +49,15 @@
             charge_slot_time(state, task, 0.0)
             continue
         if record.task.start_by <= now:
-            # After a pause an event may be handled before the tick that expires
-            # the queue; the start could begin after its home has given it up.
+            # After a pause of the process, an event may be handled before the tick
+            # that expires the queue. Its home may have given the task up already.
             charge_slot_time(state, task, 0.0)
             expire_record(state, record, now)
             continue
         target = _choose_target(state, task, now)
         if target is None:
             raise AssertionError(
-                f"{task.key}: no target fits it, although one did a moment ago"
+                f"{task.key}: no target fits it, although the queue search found one"
             )
         start_locally(state, record, target, now)
         free -= 1
@@ -149,7 +149,7 @@
         return
     job = state.jobs_by_id[record.key.submission_id]
     if not state.submissions.begin(job.submission_id):
-        raise AssertionError(f"{record.key}: a start after the final answer")
+        raise AssertionError(f"{record.key}: start attempted after the final answer")
 
 
 def _spill_queued(state: State, now: float) -> bool:
--- a/src/cassiaturn/engine/_intake.py
+++ b/src/cassiaturn/engine/_intake.py
@@ -1,4 +1,7 @@
-"""Accepts submissions at their home: validation, admission control, queueing."""
+"""Accepts submissions at their home: validation, admission control, queueing.
+
+The home of a submission is the instance that settles its answer.
+"""
 
 from cassiaturn.engine._settle import settle_not_run
 from cassiaturn.engine._state import State
@@ -15,8 +18,8 @@
 )
 
 STARTING_RETRY_MS = 200
-"""Retry advice until the shared configuration is read: time for a few reads of
-the table."""
+"""Retry-after, in milliseconds, until the shared configuration is read: long enough
+for a few reads of its table."""
 
 
 def submit(state: State, submission: Submission, now: float) -> Answer:
@@ -60,8 +63,8 @@
     It covers the tenant so that no tenant gets the answer to another tenant's
     request with the same id.
     """
-    asked = f"{submission.tenant}/{submission.method}"
-    return fingerprint_of(method=asked, tasks=submission.payloads)
+    qualified_method = f"{submission.tenant}/{submission.method}"
+    return fingerprint_of(method=qualified_method, tasks=submission.payloads)
 
 
 def pending(state: State, submission_id: str, tasks_total: int) -> Answer:
@@ -142,12 +145,18 @@
 def _validate(state: State, submission: Submission) -> tuple[Reason, str] | None:
     settings = state.settings
     if state.draining and not submission.resumed:
-        return Reason.DRAINING, "this instance is stopping; take a ticket elsewhere"
+        return (
+            Reason.DRAINING,
+            "this instance is stopping; get a ticket from another one",
+        )
     if submission.tenant not in state.tenants_by_name:
-        known = "the shared configuration names no such tenant"
-        return Reason.UNKNOWN_TENANT, f"tenant '{submission.tenant}': {known}"
+        problem = "not in the shared configuration"
+        return Reason.UNKNOWN_TENANT, f"tenant '{submission.tenant}': {problem}"
     if submission.method not in state.schema.methods_by_name:
-        return Reason.INVALID, f"method '{submission.method}' is in no schema here"
+        return (
+            Reason.INVALID,
+            f"no schema of this instance has method '{submission.method}'",
+        )
     count = len(submission.payloads)
     if not 1 <= count <= settings.max_tasks_per_job:
         allowed = f"1 to {settings.max_tasks_per_job} are allowed"
--- a/src/cassiaturn/engine/_peers.py
+++ b/src/cassiaturn/engine/_peers.py
@@ -74,11 +74,11 @@
     # from this instance no later than now and renews for at most peer_silence_s
     # after that; the target stops the task one lease later.
     settings = state.settings
-    silent_by = now + settings.peer_silence_s + settings.start_within_s
+    last_renewal_by = now + settings.peer_silence_s + settings.start_within_s
     for record in state.in_flight_by_key.values():
         if record.peer == incarnation:
             record.latest_end_at = max(
-                record.latest_end_at, silent_by + settings.lease_s
+                record.latest_end_at, last_renewal_by + settings.lease_s
             )
 
 
--- a/src/cassiaturn/engine/_quotas.py
+++ b/src/cassiaturn/engine/_quotas.py
@@ -1,4 +1,4 @@
-"""Divides each tenant's quota among the instances that have work of it."""
+"""Divides each tenant's quota among the instances that have tasks of the tenant."""
 
 from cassiaturn.engine._state import State
 from cassiaturn.policy import next_quota_part
--- a/src/cassiaturn/engine/_results.py
+++ b/src/cassiaturn/engine/_results.py
@@ -88,7 +88,7 @@
     job = state.jobs_by_id[record.key.submission_id]
     if reason == pb.REFUSAL_REASON_FENCED:
         # A successor has taken over the submissions of this incarnation. Its
-        # decisions are final, so the only truthful answer here is UNKNOWN.
+        # decisions are final, so the only correct answer here is UNKNOWN.
         state.ports.superseded()
         return
     if reason == pb.REFUSAL_REASON_DUPLICATE:
--- a/src/cassiaturn/engine/_returns.py
+++ b/src/cassiaturn/engine/_returns.py
@@ -60,7 +60,7 @@
 
 
 def expire_returned(state: State, now: float) -> None:
-    """Drop outcomes older than the longest link loss that a peer survives."""
+    """Drop outcomes older than any link loss after which a peer is still known."""
     oldest = now - 2 * state.settings.peer_gone_s
     for returned_by_key in state.returned_by_peer.values():
         while returned_by_key:
--- a/src/cassiaturn/engine/_tables.py
+++ b/src/cassiaturn/engine/_tables.py
@@ -99,7 +99,7 @@
     """A submission at its home, until its answer is settled."""
 
     submission_id: str
-    """Ticket, or an id chosen by the caller."""
+    """Ticket (an id issued by an instance), or an id chosen by the caller."""
 
     tenant: str
     """Tenant whose quota and share it uses."""
@@ -196,7 +196,7 @@
     """A caller's request to run a job; limits and tenant are not checked yet."""
 
     submission_id: str
-    """Ticket, or an id chosen by the caller."""
+    """Ticket (an id issued by an instance), or an id chosen by the caller."""
 
     tenant: str
     """Tenant named in the call metadata."""
@@ -228,7 +228,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """Counters for the metrics, including messages sent in vain."""
+    """Counters for the metrics; the refused ones count wasted messages."""
 
     starts: int = 0
     """Starts sent to targets."""
--- a/src/cassiaturn/engine/tests/virtual_fleet.py
+++ b/src/cassiaturn/engine/tests/virtual_fleet.py
@@ -151,11 +151,11 @@
         for task in self.table.lapsed(now_ms=self.fleet.now_ms):
             self.end(task.key, RunStatus.LEASE_LAPSED, task.attempt)
 
-    def _send_to_holder(self, take: Callable[[State, float], object]) -> None:
+    def _send_to_holder(self, handle: Callable[[State, float], object]) -> None:
         state = self.fleet.states_by_id[self.holder]
 
         def deliver() -> None:
-            take(state, self.fleet.now)
+            handle(state, self.fleet.now)
             dispatch(state, self.fleet.now)
 
         if self.connected:
@@ -238,8 +238,8 @@
     def superseded(self) -> None:
         raise AssertionError("no target fences in this simulation")
 
-    def _to_peer(self, peer: str, take: Callable[[State, float], object]) -> None:
-        self.fleet.to_peer(self.me, peer, take)
+    def _to_peer(self, peer: str, handle: Callable[[State, float], object]) -> None:
+        self.fleet.to_peer(self.me, peer, handle)
 
 
 class VirtualFleet:
@@ -267,7 +267,9 @@
         self._links: dict[frozenset[str], int] = {}
         self._cut: set[frozenset[str]] = set()
         ids = [f"i{number}~1{number:08x}" for number in range(instances)]
-        self.states_by_id: Mapping[str, State] = {one: self._state(one) for one in ids}
+        self.states_by_id: Mapping[str, State] = {
+            name: self._state(name) for name in ids
+        }
         self.targets_by_id: dict[str, VirtualTarget] = {}
         for holder, state in self.states_by_id.items():
             for number in range(targets_each):
@@ -297,8 +299,8 @@
 
     def is_running_elsewhere(self, key: TaskKey, here: VirtualTarget) -> bool:
         """Return whether a target other than ``here`` runs a task now."""
-        others = [one for one in self.targets_by_id.values() if one is not here]
-        return any(key in one.table.running_by_key for one in others)
+        others = [t for t in self.targets_by_id.values() if t is not here]
+        return any(key in target.table.running_by_key for target in others)
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -330,7 +332,7 @@
             cancel(state, self.rng.choice(list(state.jobs_by_id)), self.now)
 
     def to_peer(
-        self, sender: str, peer: str, take: Callable[[State, float], object]
+        self, sender: str, peer: str, handle: Callable[[State, float], object]
     ) -> None:
         pair = frozenset((sender, peer))
         if pair in self._cut:
@@ -340,7 +342,7 @@
 
         def arrive() -> None:
             if self._links.get(pair, 0) == epoch and pair not in self._cut:
-                take(state, self.now)
+                handle(state, self.now)
                 dispatch(state, self.now)
 
         self.send((sender, peer), arrive)
