--- a/src/cassiaturn/engine/_tables.py
+++ b/src/cassiaturn/engine/_tables.py
@@ -176,7 +176,7 @@
 
     result_kept_s: float = 15.0
     """How long a target keeps a result after its job was settled, in seconds: longer
-    than the caller of a dead home needs to find the successor."""
+    than the caller of a crashed home needs to find the successor."""
 
     spill_within_s: float = 2.0
     """How long a spilled task may wait at the peer, in seconds."""
--- a/src/cassiaturn/policy/_notices.py
+++ b/src/cassiaturn/policy/_notices.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class LastReport:
-    """Free slots that a peer was last told about."""
+    """Free slots last reported to a peer."""
 
     free_slots: int = 0
     """Free slots in the last frame of any kind to the peer."""
--- a/src/cassiaturn/policy/_retries.py
+++ b/src/cassiaturn/policy/_retries.py
@@ -93,7 +93,7 @@
                 return GiveUp(reason=Reason.NO_TARGET)
             return Retry(delay_s=self._delay(attempt))
         # A second start while the first run may still continue would run the task
-        # twice, and its caller would see a duplicate order. Being repeatable does
+        # twice, with a duplicate effect such as a second order. Being repeatable does
         # not help: it only permits runs one after another.
         if previous_run is PreviousRun.UNKNOWN:
             return GiveUp(reason=Reason.TARGET_LOST)
