--- a/src/cassiaturn/engine/_tables.py
+++ b/src/cassiaturn/engine/_tables.py
@@ -99,7 +99,7 @@
     """A submission at its home, until its answer is settled."""
 
     submission_id: str
-    """Ticket, or an id chosen by the caller."""
+    """Ticket (an id issued by an instance), or an id chosen by the caller."""
 
     tenant: str
     """Tenant whose quota and share it uses."""
@@ -176,7 +176,7 @@
 
     result_kept_s: float = 15.0
     """How long a target keeps a result after its job was settled, in seconds: longer
-    than the caller of a dead home needs to find the successor."""
+    than the caller of a crashed home needs to find the successor."""
 
     spill_within_s: float = 2.0
     """How long a spilled task may wait at the peer, in seconds."""
@@ -196,7 +196,7 @@
     """A caller's request to run a job; limits and tenant are not checked yet."""
 
     submission_id: str
-    """Ticket, or an id chosen by the caller."""
+    """Ticket (an id issued by an instance), or an id chosen by the caller."""
 
     tenant: str
     """Tenant named in the call metadata."""
@@ -228,7 +228,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """Counters for the metrics, including messages sent in vain."""
+    """Counters for the metrics; the refused ones count wasted messages."""
 
     starts: int = 0
     """Starts sent to targets."""
--- a/src/cassiaturn/policy/_retries.py
+++ b/src/cassiaturn/policy/_retries.py
@@ -1,9 +1,9 @@
 """Decides whether and when a failed task is started again.
 
 Load pattern: a store, a failure domain or all targets fail at once, and each
-failure asks for another start. Without a budget the load is multiplied by the
-number of attempts when the least of it can be served (retry storm), and it stays
-high after the cause is gone.
+failed task is due to be started again. Without a budget the load is multiplied by
+the number of attempts just when capacity is lowest (retry storm), and it stays high
+after the cause is gone.
 
 Grounds: a retry budget as a ratio of the successes bounds the extra load to that
 ratio in steady state (the Google SRE book and Finagle use 10%). Refused starts cost
@@ -93,7 +93,7 @@
                 return GiveUp(reason=Reason.NO_TARGET)
             return Retry(delay_s=self._delay(attempt))
         # A second start while the first run may still continue would run the task
-        # twice, and its caller would see a duplicate order. Being repeatable does
+        # twice, with a duplicate effect such as a second order. Being repeatable does
         # not help: it only permits runs one after another.
         if previous_run is PreviousRun.UNKNOWN:
             return GiveUp(reason=Reason.TARGET_LOST)
