--- a/src/cassiaturn/fleet/_term.py
+++ b/src/cassiaturn/fleet/_term.py
@@ -104,7 +104,7 @@
             is_later = holder is not None and holder.token > leadership.token
             if holder is not None and is_later and await self._is_reachable(holder):
                 return holder
-            # Targets refuse this leader, but the row names no later one or is unreadable.
+            # Targets refuse this leader, but no later one was read from the row.
             blocked = holder in (leadership, None) and bool(self._leader.superseded_ids)
             checks = checks + 1 if blocked else 0
             if checks > CHECKS_BEFORE_RAISE:
