--- a/src/cassiaturn/server/_instance.py
+++ b/src/cassiaturn/server/_instance.py
@@ -36,7 +36,7 @@
 )
 from cassiaturn.transport import ClosingServer
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 REASONS_NOT_READY = {
     MemberState.STARTING: "no shared configuration yet",
@@ -118,7 +118,7 @@
         self.member_state = MemberState.LEAVING
         self._holders_due_at = 0.0
         self.peers.announce()
-        limit_s = self.settings.timings.drain_timeout_ms / MILLISECONDS
+        limit_s = self.settings.timings.drain_timeout_ms / MS_PER_S
         give_up_at = time.monotonic() + limit_s
         await asyncio.sleep(LEAVING_NOTICE_S)
         while self._has_open_work() and time.monotonic() < give_up_at:  # noqa: ASYNC110
@@ -157,7 +157,7 @@
         return status_of(self)
 
     async def _run_ticks(self) -> None:
-        period_s = self.settings.timings.tick_ms / MILLISECONDS
+        period_s = self.settings.timings.tick_ms / MS_PER_S
         while True:
             now = time.monotonic()
             self._check_pause(now)
--- a/src/cassiaturn/server/_instance_base.py
+++ b/src/cassiaturn/server/_instance_base.py
@@ -52,7 +52,7 @@
 )
 from cassiaturn.transport import ClosingServer
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class InstanceBase(ABC):
@@ -73,7 +73,7 @@
         :param stop_requested: set when a planned stop is requested.
         """
         rng = random.Random()
-        boot_ms = int(time.time() * MILLISECONDS)
+        boot_ms = int(time.time() * MS_PER_S)
         self.settings = settings
         self.started_at = time.monotonic()
         self.stop_requested = stop_requested or asyncio.Event()
@@ -110,7 +110,7 @@
             table=self.platform.table,
             budget=self.budget,
             initial=settings.configuration_file,
-            poll_s=settings.timings.configuration_poll_ms / MILLISECONDS,
+            poll_s=settings.timings.configuration_poll_ms / MS_PER_S,
             highest_at_peers=self.membership.highest_version,
             on_applied=self._apply_configuration,
             rng=rng,
@@ -126,8 +126,8 @@
         settings = self.settings
         limits = settings.limits
         timings = settings.timings
-        retention_s = limits.result_retention_ms / MILLISECONDS
-        ticket_valid_s = limits.ticket_valid_ms / MILLISECONDS
+        retention_s = limits.result_retention_ms / MS_PER_S
+        ticket_valid_s = limits.ticket_valid_ms / MS_PER_S
         submissions = SubmissionTable(
             incarnation=self.incarnation,
             booted_at=self.started_at,
@@ -150,10 +150,10 @@
                 incarnation=self.incarnation,
                 instance_id=settings.instance_id,
                 failure_domain=settings.failure_domain,
-                lease_s=timings.lease_ms / MILLISECONDS,
-                start_within_s=timings.start_within_ms / MILLISECONDS,
-                peer_silence_s=timings.gone_after_ms / MILLISECONDS,
-                peer_gone_s=timings.gone_after_ms / MILLISECONDS,
+                lease_s=timings.lease_ms / MS_PER_S,
+                start_within_s=timings.start_within_ms / MS_PER_S,
+                peer_silence_s=timings.gone_after_ms / MS_PER_S,
+                peer_gone_s=timings.gone_after_ms / MS_PER_S,
                 max_tasks_per_job=limits.max_tasks_per_job,
                 max_payload_bytes=limits.max_payload_bytes,
                 max_job_bytes=limits.max_job_bytes,
@@ -172,9 +172,9 @@
         self.membership = MembershipTable(
             me=MemberRow(facts=self._own_facts()),
             settings=MembershipSettings(
-                heartbeat_s=timings.heartbeat_ms / MILLISECONDS,
-                suspect_after_s=timings.suspect_after_ms / MILLISECONDS,
-                gone_after_s=timings.gone_after_ms / MILLISECONDS,
+                heartbeat_s=timings.heartbeat_ms / MS_PER_S,
+                suspect_after_s=timings.suspect_after_ms / MS_PER_S,
+                gone_after_s=timings.gone_after_ms / MS_PER_S,
             ),
             rng=self._rng,
         )
@@ -188,7 +188,7 @@
             metrics=self.metrics,
             own_facts=self._own_facts,
             on_change=self._on_member_change,
-            connect_timeout_s=timings.connect_timeout_ms / MILLISECONDS,
+            connect_timeout_s=timings.connect_timeout_ms / MS_PER_S,
             full_links=self.settings.limits.full_links,
         )
         self.membership.hint(
@@ -200,7 +200,7 @@
             ]
         )
         self.pauses = PauseDetector(
-            suspicion_timeout_s=timings.suspect_after_ms / MILLISECONDS
+            suspicion_timeout_s=timings.suspect_after_ms / MS_PER_S
         )
 
     def _build_homes(self) -> None:
@@ -229,8 +229,8 @@
             table=TakeoverTable(
                 incarnation=self.incarnation,
                 settings=RecoverySettings(
-                    max_start_within_s=timings.start_within_ms / MILLISECONDS,
-                    max_lease_s=timings.lease_ms / MILLISECONDS,
+                    max_start_within_s=timings.start_within_ms / MS_PER_S,
+                    max_lease_s=timings.lease_ms / MS_PER_S,
                 ),
                 rng=self._rng,
             ),
@@ -247,7 +247,7 @@
             ports=self.ports,
             issuer=TicketIssuer(
                 incarnation=self.incarnation,
-                valid_for_s=limits.ticket_valid_ms / MILLISECONDS,
+                valid_for_s=limits.ticket_valid_ms / MS_PER_S,
                 booted_at=self.started_at,
             ),
             ticket_valid_ms=limits.ticket_valid_ms,
@@ -258,7 +258,7 @@
         self.offloader = Offloader(
             submissions=self.state.submissions,
             objects=self.platform.objects,
-            retention_s=limits.result_retention_ms / MILLISECONDS,
+            retention_s=limits.result_retention_ms / MS_PER_S,
         )
         self.router.fetch_results = self.offloader.fetch
 
@@ -274,7 +274,7 @@
     def _build_host_list(self) -> None:
         self.host_list = HostListReader(
             hosts=self.platform.hosts,
-            period_s=self.settings.timings.host_list_poll_ms / MILLISECONDS,
+            period_s=self.settings.timings.host_list_poll_ms / MS_PER_S,
             membership=self.membership,
             peers=self.peers,
             targets=self.targets,
--- a/src/cassiaturn/server/_link.py
+++ b/src/cassiaturn/server/_link.py
@@ -14,7 +14,7 @@
 from cassiaturn.v1.peer_grpc import PeerStub
 from cassiaturn.v1.peer_pb2 import PeerFrame
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 RECONNECT_PAUSE_S = 0.5
 """Pause before reconnecting a lost link, in seconds; half a heartbeat period."""
@@ -62,7 +62,7 @@
         is stopped while a frame waits in its buffer, the peer finds the frame
         late when it reads it.
         """
-        return self._clock_ms + int((now - self._clock_seen_at) * MILLISECONDS)
+        return self._clock_ms + int((now - self._clock_seen_at) * MS_PER_S)
 
     def _record_received(self, frame: PeerFrame) -> None:
         self.heard_at = time.monotonic()
@@ -86,7 +86,7 @@
 
         async def send(frame: PeerFrame) -> None:
             before_send(self, frame)
-            frame.clock_ms = int(time.monotonic() * MILLISECONDS)
+            frame.clock_ms = int(time.monotonic() * MS_PER_S)
             self.sent_at = time.monotonic()
             await stream.send_message(frame)
 
--- a/src/cassiaturn/server/_peers.py
+++ b/src/cassiaturn/server/_peers.py
@@ -37,7 +37,7 @@
 CLOSE_TIMEOUT_S = 1.0
 """Longest wait for the links to close, in seconds."""
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class PeerManager:
@@ -350,7 +350,7 @@
         row.apply_report(
             free_slots=facts.free_slots,
             queued=facts.queued,
-            expected_wait_s=facts.expected_wait_ms / MILLISECONDS,
+            expected_wait_s=facts.expected_wait_ms / MS_PER_S,
             now=now,
         )
         self.domains_by_incarnation.setdefault(
@@ -427,4 +427,4 @@
     """Return slots, free slots, queued tasks and expected wait in ms."""
     slots = state.usable_slots()
     wait_s = expected_wait_s(state) if slots else 0.0
-    return slots, state.free_slots(), len(state.queue), int(wait_s * MILLISECONDS)
+    return slots, state.free_slots(), len(state.queue), int(wait_s * MS_PER_S)
--- a/src/cassiaturn/server/_platform.py
+++ b/src/cassiaturn/server/_platform.py
@@ -12,7 +12,7 @@
 )
 from cassiaturn.settings import PlatformSettings, TimingSettings
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class PlatformServices:
@@ -26,7 +26,7 @@
         metrics: Metrics,
     ) -> None:
         """Create the clients; connections open on first use."""
-        self._timeout_s = timings.store_timeout_ms / MILLISECONDS
+        self._timeout_s = timings.store_timeout_ms / MS_PER_S
         self._callers: list[HttpCaller] = []
         self.table: TableService | None = None
         self.objects: ObjectStore | None = None
--- a/src/cassiaturn/server/_ports.py
+++ b/src/cassiaturn/server/_ports.py
@@ -11,7 +11,7 @@
 from cassiaturn.targets import RunnerSession
 from cassiaturn.v1 import options_pb2, peer_pb2, runner_pb2
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 
 class ServerPorts:
@@ -58,7 +58,7 @@
             method=record.method.name,
             payload=record.payload,
             home=record.home,
-            start_by_ms=clock_ms + int(within_s * MILLISECONDS),
+            start_by_ms=clock_ms + int(within_s * MS_PER_S),
             lease_ms=lease_ms,
             resources=_resources(resources),
         )
@@ -112,9 +112,8 @@
             caller=task.caller,
             request_class=int(task.request_class),
             repeatable=record.method.repeatable,
-            start_by_ms=link.peer_clock(time.monotonic())
-            + int(within_s * MILLISECONDS),
-            expected_run_ms=int(task.expected_run_s * MILLISECONDS),
+            start_by_ms=link.peer_clock(time.monotonic()) + int(within_s * MS_PER_S),
+            expected_run_ms=int(task.expected_run_s * MS_PER_S),
             job_remaining=job_remaining,
         )
         link.outbox.notify()
--- a/src/cassiaturn/server/_reclaim.py
+++ b/src/cassiaturn/server/_reclaim.py
@@ -36,7 +36,7 @@
 from cassiaturn.targets import fence
 from cassiaturn.v1.runner_pb2 import FenceReply
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 SCAN_PERIOD_S = 0.5
 """Interval between scans for tasks spilled to peers that are gone, in seconds."""
@@ -71,7 +71,7 @@
 
     :param age_s: time since the oldest task was spilled, in seconds.
     """
-    known_s = min(reply.uptime_ms, reply.remembers_ms) / MILLISECONDS
+    known_s = min(reply.uptime_ms, reply.remembers_ms) / MS_PER_S
     return reply.exhaustive and known_s > age_s
 
 
--- a/src/cassiaturn/server/_status.py
+++ b/src/cassiaturn/server/_status.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from cassiaturn.server._instance import Instance
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 _BREAKERS = {
     StoreState.CLOSED: BreakerState.CLOSED,
@@ -132,4 +132,4 @@
 
 
 def _ms(seconds: float) -> int:
-    return int(seconds * MILLISECONDS)
+    return int(seconds * MS_PER_S)
--- a/src/cassiaturn/server/_successor.py
+++ b/src/cassiaturn/server/_successor.py
@@ -34,7 +34,7 @@
 from cassiaturn.submission import StoreBudget, Ticket, booted_ms, parse_ticket
 from cassiaturn.targets import fence
 
-MILLISECONDS = 1000
+MS_PER_S = 1000
 
 ABSENT = 0
 """Expected version of a row that must not exist yet."""
@@ -258,7 +258,7 @@
         # report proves nothing. Without a ticket, the home's age bounds the age.
         ticket = parse_ticket(submission_id)
         issued_ms = ticket.issued_ms if isinstance(ticket, Ticket) else 0
-        age_ms = time.time() * MILLISECONDS - booted_ms(home) - issued_ms
+        age_ms = time.time() * MS_PER_S - booted_ms(home) - issued_ms
         return age_ms + self._max_clock_skew_ms > self._min_retention_ms
 
     def _log_done(self, dead: str) -> None:
@@ -272,7 +272,7 @@
         # A restarted runner does not know the tasks that its earlier process began,
         # and trusting it could report a task that ran there as "not run". So the
         # runner must be older than the home by more than the clock skew.
-        began_ms = time.time() * MILLISECONDS - uptime_ms
+        began_ms = time.time() * MS_PER_S - uptime_ms
         return began_ms + self._max_clock_skew_ms < booted_ms(dead)
 
     def _start(self, coroutine: Coroutine[None, None, None]) -> None:
