--- a/src/cassiaturn/recovery/__init__.py
+++ b/src/cassiaturn/recovery/__init__.py
@@ -1,4 +1,11 @@
-"""Takes over the submissions of an instance that is gone."""
+"""Takes over the submissions of an instance that is gone.
+
+The home of a submission is the incarnation (one process of an instance) that accepted
+it. When the home is gone, a row in the table service makes one other incarnation its
+successor. The successor fences every target: the target refuses further starts by the
+home and reports the runs that it began. From these reports the successor decides on
+each task.
+"""
 
 from cassiaturn.entities import RunStatus
 from cassiaturn.recovery._decision import (
--- a/src/cassiaturn/recovery/_decision.py
+++ b/src/cassiaturn/recovery/_decision.py
@@ -1,4 +1,6 @@
-"""Decides what a successor does with each task of a home that is gone.
+"""Decides what a successor does with each task of a dead home.
+
+The home is the incarnation that accepted the submission.
 
 Decisions rest on proof, not on likelihood: a task runs again only if no earlier run
 of it can still be in progress, and a non-repeatable task only if no run began.
@@ -73,8 +75,8 @@
     """No reachable target can prove whether the task ran."""
 
     silent_targets: Collection[str]
-    """Targets whose report is missing: those that did not answer, else those that
-    forgot runs, else those that are gone."""
+    """Targets that cannot tell whether the task ran: those that did not answer; if
+    there are none, those that forgot runs; if there are none, those that are gone."""
 
 
 TaskDecision = Adopt | RunNow | AwaitRunning | RunAfter | FailTask | Undetermined
@@ -130,14 +132,14 @@
     :param forgetful_targets: targets that refuse its starts but forgot runs that
         ended.
     :param latest_end_at: monotonic time, in seconds, by which every run of the dead
-        home must have ended, from start-by times and leases; None unless that home
-        is known to have ended.
+        home must have ended, derived from start-by times and leases; None unless
+        the home is known to have ended.
     :param now: monotonic time, in seconds.
     """
     if begun is not None:
-        settled = _decide_begun(begun, repeatable, fenced_targets, forgetful_targets)
-        if settled is not None:
-            return settled
+        decision = _decide_begun(begun, repeatable, fenced_targets, forgetful_targets)
+        if decision is not None:
+            return decision
     silent = unfenced_targets
     if not repeatable:
         silent = unfenced_targets or forgetful_targets or gone_targets
--- a/src/cassiaturn/recovery/_pause.py
+++ b/src/cassiaturn/recovery/_pause.py
@@ -1,9 +1,10 @@
-"""Detects that this process was paused, and holds starts until its row is read.
+"""Detects pauses of this process and holds starts until its takeover row is read.
 
 A process that was paused for longer than the suspicion timeout may have a successor
-when it resumes. Every fenced target then refuses its queued starts; holding them
-saves these messages, and callers get a correct answer sooner. Safety does not
-depend on the hold: fences and start-by times refuse starts that are sent anyway.
+when it resumes. Fenced targets then refuse the starts that it has queued; holding
+them saves these messages, and callers get a correct answer sooner. Safety does not
+depend on the hold: targets refuse starts that are sent anyway, because of the fence
+or because the start-by time has passed.
 """
 
 from enum import Enum
@@ -19,9 +20,9 @@
     """Starts are held until the takeover row of this incarnation is read."""
 
     BLIND = "blind"
-    """The store is unreachable, and starts may be sent: a successor needs a row
-    there, so its row was written before the outage, and its fences refuse the
-    starts of this incarnation."""
+    """The store is unreachable, and starts may be sent. A successor needs a row in the
+    store; if there is one, it was written before the outage, and fenced targets
+    refuse the starts of this incarnation."""
 
     SUPERSEDED = "superseded"
     """A successor exists. This incarnation must send no more starts, answer
@@ -68,7 +69,7 @@
         return self._state
 
     def own_row_read(self, *, present: bool) -> HoldState:
-        """Report whether a takeover row of this incarnation exists.
+        """Record whether a takeover row of this incarnation exists.
 
         :param present: whether the store holds one.
         """
@@ -79,7 +80,7 @@
         return self._state
 
     def store_unreachable(self) -> HoldState:
-        """Report that the row could not be read; it must still be read later."""
+        """Record that the row could not be read; it must still be read later."""
         if self._state is HoldState.HELD:
             self._state = HoldState.BLIND
         return self._state
--- a/src/cassiaturn/recovery/_progress.py
+++ b/src/cassiaturn/recovery/_progress.py
@@ -1,4 +1,4 @@
-"""State of one takeover: its row, its fences and the reports of targets."""
+"""Tracks one takeover: its row, its fences and the reports of targets."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass, field
@@ -64,8 +64,8 @@
     )
     """Every target that the dead home may have reached, by the state of its fence."""
 
-    targets_to_ask: dict[str, None] = field(default_factory=dict)
-    """Targets that did not answer or have running tasks."""
+    targets_to_fence: dict[str, None] = field(default_factory=dict)
+    """Targets that need another fence: they did not answer or have running tasks."""
 
     phase: TakeoverPhase = TakeoverPhase.WANTED
     """Phase of the takeover."""
@@ -90,12 +90,12 @@
     def add_target(self, target_id: str) -> None:
         """Add a target whose fence is due."""
         self.targets_by_state[FenceState.DUE].add(target_id)
-        self.targets_to_ask[target_id] = None
+        self.targets_to_fence[target_id] = None
 
     def note_gone(self, target_id: str) -> None:
         """Record that the process of a target ended."""
         self._set_state(target_id, FenceState.GONE)
-        self.targets_to_ask.pop(target_id, None)
+        self.targets_to_fence.pop(target_id, None)
 
     def note_report(self, report: FenceReport) -> None:
         """Record a target's reply to a fence."""
@@ -108,9 +108,9 @@
             self.note_run(key, run)
             running = running or run.status is RunStatus.RUNNING
         if running:
-            self.targets_to_ask[report.target_id] = None
+            self.targets_to_fence[report.target_id] = None
         else:
-            self.targets_to_ask.pop(report.target_id, None)
+            self.targets_to_fence.pop(report.target_id, None)
 
     def _set_state(self, target_id: str, state: FenceState) -> None:
         for targets in self.targets_by_state.values():
@@ -137,7 +137,7 @@
         """
         return [
             target_id
-            for target_id in self.targets_to_ask
+            for target_id in self.targets_to_fence
             if target_id not in self.fences_in_flight
             and now >= self.next_fence_at_by_target.get(target_id, now)
         ]
--- a/src/cassiaturn/recovery/_submission.py
+++ b/src/cassiaturn/recovery/_submission.py
@@ -45,11 +45,11 @@
     """Decide on a submission of a dead home from the decisions on its tasks.
 
     A successor never runs a submission of which no target began a task. Its home
-    may have answered ``NOT_RUN`` before it died, without a record, and running a
-    resubmission that crossed this answer would make it false. The successor
-    therefore answers ``NOT_RUN`` too, and the caller resubmits under a new id. Once
-    a task began, the home cannot have answered ``NOT_RUN``, and the remaining tasks
-    may run.
+    may have answered ``NOT_RUN`` before it died, and left no record of that. If the
+    caller resubmitted before it got this answer, running the resubmission would make
+    the answer false. The successor therefore answers ``NOT_RUN`` too, and the caller
+    resubmits under a new id. Once a task began, the home cannot have answered
+    ``NOT_RUN``, and the remaining tasks may run.
 
     :param submission_id: id of the submission.
     :param decisions: one decision per task, in order; not empty.
@@ -68,7 +68,7 @@
 def decide_without_tasks(
     *, submission_id: str, never_begun: bool, any_begun: bool
 ) -> Answer | None:
-    """Decide on the answer to a caller that only collects and sends no tasks.
+    """Decide on the answer to a caller that asks for results without sending tasks.
 
     :param never_begun: whether every target that could have begun a task reported
         that it did not and never will.
@@ -85,22 +85,24 @@
 def _decide_finished(
     submission_id: str, decisions: Sequence[TaskDecision]
 ) -> Answer | None:
-    adopted = [one for one in decisions if isinstance(one, Adopt)]
+    adopted = [decision for decision in decisions if isinstance(decision, Adopt)]
     if len(adopted) == len(decisions):
         return Answer(
             submission_id=submission_id,
             outcome=Outcome.COMPLETE,
-            results=tuple(one.begun.result for one in adopted),
+            results=tuple(decision.begun.result for decision in adopted),
             tasks_done=len(adopted),
             tasks_total=len(decisions),
         )
-    failed = next((one for one in decisions if isinstance(one, FailTask)), None)
+    failed = next(
+        (decision for decision in decisions if isinstance(decision, FailTask)), None
+    )
     if failed is None:
         return None
     everything = all(
-        isinstance(one, Adopt)
-        or (isinstance(one, FailTask) and one.ran is Ran.EVERYTHING)
-        for one in decisions
+        isinstance(decision, Adopt)
+        or (isinstance(decision, FailTask) and decision.ran is Ran.EVERYTHING)
+        for decision in decisions
     )
     return Answer(
         submission_id=submission_id,
@@ -114,11 +116,11 @@
 
 
 def _decide_not_begun(submission_id: str, decisions: Sequence[TaskDecision]) -> Answer:
-    denied = all(
-        isinstance(one, RunNow) and one.proof is RunProof.NEVER_BEGUN
-        for one in decisions
+    never_begun = all(
+        isinstance(decision, RunNow) and decision.proof is RunProof.NEVER_BEGUN
+        for decision in decisions
     )
-    if denied:
+    if never_begun:
         return _not_run(submission_id, tasks_total=len(decisions))
     return _unknown(submission_id, decisions)
 
@@ -136,7 +138,7 @@
 
 
 def _unknown(submission_id: str, decisions: Sequence[TaskDecision]) -> Answer:
-    unknown = (one for one in decisions if isinstance(one, Undetermined))
+    unknown = (decision for decision in decisions if isinstance(decision, Undetermined))
     first = next(unknown, None)
     silent = first.silent_targets if first is not None else ()
     names = ", ".join(sorted(silent)[:_MAX_NAMED_TARGETS]) or "some"
@@ -146,6 +148,6 @@
         ran=Ran.MAYBE,
         reason=Reason.HOME_UNREACHABLE,
         detail=f"Its home is unreachable, and these targets cannot tell: {names}.",
-        tasks_done=sum(isinstance(one, Adopt) for one in decisions),
+        tasks_done=sum(isinstance(decision, Adopt) for decision in decisions),
         tasks_total=len(decisions),
     )
--- a/src/cassiaturn/recovery/_takeover.py
+++ b/src/cassiaturn/recovery/_takeover.py
@@ -1,7 +1,7 @@
 """Determines the successor of a dead incarnation and tracks its fences.
 
-Load pattern: a host dies, or seems to, and several instances detect it and receive
-resubmissions of its callers at the same time. A conditional insert makes exactly
+Load pattern: a host dies or seems to, and several instances detect it and get
+resubmissions from its callers at the same time. A conditional insert makes exactly
 one of them the successor; without it, two instances could each find that a task
 never began, and both run it. The cost is one write per incarnation, regardless of
 the number of its submissions.
@@ -68,7 +68,7 @@
                 takeover.add_target(target_id)
 
     def target_gone(self, target_id: str) -> None:
-        """Report that the process of a target ended, and all its runs with it.
+        """Record that the process of a target ended, and all its runs with it.
 
         A restarted runner is a new target: it cannot report what the old process
         ran.
@@ -100,7 +100,7 @@
         return takeover
 
     def incarnation_ended(self, dead: str, now: float) -> None:
-        """Report that the process of an incarnation ended, not only its links.
+        """Record that the process of an incarnation ended, not only its connections.
 
         A newer incarnation of the same instance proves this. Only then do start-by
         times and leases bound the end of its last run.
@@ -124,7 +124,7 @@
         return due
 
     def row_confirmed(self, row: TakeoverRow) -> None:
-        """Report the row that the store holds, of this incarnation or another.
+        """Record the row that the store holds, of this incarnation or another.
 
         :param row: the row that was inserted, found in its place, or read.
         """
@@ -138,7 +138,7 @@
             takeover.phase = TakeoverPhase.YIELDED
 
     def insert_unanswered(self, dead: str) -> None:
-        """Report that the store did not answer; the same insert is retried."""
+        """Record that the store did not answer; the same insert is retried."""
         takeover = self._takeovers_by_dead.get(dead)
         if takeover is not None and takeover.phase is TakeoverPhase.INSERTING:
             takeover.phase = TakeoverPhase.WANTED
@@ -192,7 +192,7 @@
         return due
 
     def fenced(self, dead: str, report: FenceReport, now: float) -> None:
-        """Report a target's reply to a fence.
+        """Record a target's reply to a fence.
 
         :param now: monotonic time, in seconds.
         """
@@ -206,7 +206,7 @@
         )
 
     def fence_failed(self, dead: str, target_id: str, now: float) -> None:
-        """Report that a target did not answer a fence.
+        """Record that a target did not answer a fence.
 
         :param now: monotonic time, in seconds.
         """
@@ -224,7 +224,7 @@
         :param home: incarnation that its ticket or claim names.
         :param now: monotonic time, in seconds.
         """
-        return self._decide_in(self._view(home, now), key, repeatable)
+        return self._decide_in(self._lineage_reports(home, now), key, repeatable)
 
     def decide_submission(
         self,
@@ -240,21 +240,21 @@
         :param home: incarnation that its ticket or claim names.
         :param now: monotonic time, in seconds.
         """
-        view = self._view(home, now)
+        reports = self._lineage_reports(home, now)
         keys = [TaskKey(submission_id, index) for index in range(tasks_total)]
         return decide_submission(
             submission_id=submission_id,
-            decisions=[self._decide_in(view, key, repeatable) for key in keys],
-            any_begun=any(_run_of(view.lineage, key) is not None for key in keys),
+            decisions=[self._decide_in(reports, key, repeatable) for key in keys],
+            any_begun=any(_run_of(reports.lineage, key) is not None for key in keys),
         )
 
-    def _view(self, home: str, now: float) -> "_View":
+    def _lineage_reports(self, home: str, now: float) -> "_LineageReports":
         lineage = self._lineage_takeovers(home)
         for takeover in lineage:
             takeover.used_at = now
         ends = [self._latest_end_by_dead.get(takeover.row.dead) for takeover in lineage]
         known = [end for end in ends if end is not None]
-        return _View(
+        return _LineageReports(
             lineage=lineage,
             fenced=targets_in_state(lineage, FenceState.FENCED),
             unfenced=targets_in_state(lineage, FenceState.DUE),
@@ -264,20 +264,22 @@
             now=now,
         )
 
-    def _decide_in(self, view: "_View", key: TaskKey, repeatable: bool) -> TaskDecision:
-        # Without a confirmed row another successor may decide too; without targets
-        # no report excludes a run.
-        if not self._target_ids or not _is_successor(view.lineage):
+    def _decide_in(
+        self, reports: "_LineageReports", key: TaskKey, repeatable: bool
+    ) -> TaskDecision:
+        # Without a confirmed row another incarnation may decide too; without known
+        # targets no report rules out a run.
+        if not self._target_ids or not _is_successor(reports.lineage):
             return Undetermined(silent_targets=())
         return decide_task(
             repeatable=repeatable,
-            begun=_run_of(view.lineage, key),
-            fenced_targets=view.fenced,
-            unfenced_targets=view.unfenced,
-            gone_targets=view.gone,
-            forgetful_targets=view.forgetful,
-            latest_end_at=view.latest_end_at,
-            now=view.now,
+            begun=_run_of(reports.lineage, key),
+            fenced_targets=reports.fenced,
+            unfenced_targets=reports.unfenced,
+            gone_targets=reports.gone,
+            forgetful_targets=reports.forgetful,
+            latest_end_at=reports.latest_end_at,
+            now=reports.now,
         )
 
     def _expire(self, now: float) -> None:
@@ -299,7 +301,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _View:
+class _LineageReports:
     """Reports of targets about a lineage of dead homes, for one round of decisions."""
 
     lineage: Sequence[Takeover]
--- a/src/cassiaturn/recovery/tests/test_decision.py
+++ b/src/cassiaturn/recovery/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""Tests of each row of the truth table and of decisions on submissions."""
+"""Tests of decisions on tasks, for each row of the table, and on submissions."""
 
 import pytest
 
@@ -45,9 +45,10 @@
 CANCELLED = FailTask(ran=Ran.SOME, reason=Reason.CANCELLED)
 
 DROPPED = ReportedRun(target_id="a", status=RunStatus.DONE, result_dropped=True)
-"""Result acknowledged by its home; the empty one that is left is not a reply."""
+"""Its home acknowledged the result and the target dropped it, so the empty ``result``
+is not a reply."""
 
-TRUTH_TABLE = [
+DECISION_TABLE = [
     (DROPPED, ALL_FENCED, None, Undetermined(silent_targets=()), None),
     (DONE, SILENT_B, None, Adopt(begun=DONE), Adopt(begun=DONE)),
     (run_at(RunStatus.FAILED), ALL_FENCED, None, FAILED, FAILED),
@@ -69,7 +70,7 @@
 
 @pytest.mark.parametrize(
     ("begun", "targets", "latest_end_at", "if_repeatable", "if_not_repeatable"),
-    TRUTH_TABLE,
+    DECISION_TABLE,
 )
 def test_truth_table(
     begun: ReportedRun | None,
@@ -78,6 +79,10 @@
     if_repeatable: TaskDecision,
     if_not_repeatable: TaskDecision | None,
 ) -> None:
+    """Guards against a second run, or a lost result, of a task of a dead home.
+
+    Without ``if_not_repeatable``, both kinds of task get the same decision.
+    """
     for repeatable, expected in (
         (True, if_repeatable),
         (False, if_not_repeatable or if_repeatable),
@@ -121,10 +126,12 @@
 def test_submission_is_answered_at_once(
     decisions: list[TaskDecision], any_begun: bool, outcome: Outcome, ran: Ran
 ) -> None:
+    """Guards against a false answer about a submission that cannot be resumed."""
     assert answer_for(decisions, any_begun=any_begun) == (outcome, ran)
 
 
 def test_begun_submission_resumes() -> None:
+    """Guards against failing a submission that a target began before its home died."""
     decisions: list[TaskDecision] = [
         Adopt(begun=DONE),
         RUN_NEVER_BEGUN,
@@ -147,6 +154,7 @@
 def test_decide_without_tasks(
     never_begun: bool, any_begun: bool, outcome: Outcome | None
 ) -> None:
+    """Guards against ``NOT_RUN`` to a caller that sends no tasks, when one may run."""
     answer = decide_without_tasks(
         submission_id="s", never_begun=never_begun, any_begun=any_begun
     )
--- a/src/cassiaturn/recovery/tests/test_takeover.py
+++ b/src/cassiaturn/recovery/tests/test_takeover.py
@@ -103,7 +103,7 @@
 
 
 def test_unanswered_insert_is_retried_with_the_same_row() -> None:
-    """Guards against losing a takeover whose insert succeeded but was not answered."""
+    """Guards against losing a takeover whose row was stored but not acknowledged."""
     table = make_table()
     table.request_takeover(DEAD)
     (row,) = table.rows_due()
@@ -117,7 +117,7 @@
 def test_expired_takeover_restarts_from_the_stored_row() -> None:
     """Guards against decisions without reports after a takeover expired.
 
-    A takeover is unused for a quarter of an hour and expires. A late resubmission
+    A takeover expires after a quarter of an hour without use. A late resubmission
     finds the row of this incarnation in the store; every target must be fenced
     again before anything is decided.
     """
@@ -148,7 +148,7 @@
     assert outcome(decide(no_targets)) is Outcome.UNKNOWN
 
 
-def test_submission_denied_by_all_targets_is_not_run() -> None:
+def test_submission_that_no_target_began_is_not_run() -> None:
     """Guards against running a job that the dead home reported as not run.
 
     A home dies with a job queued, perhaps after it answered ``NOT_RUN``, and the
@@ -180,7 +180,7 @@
     assert isinstance(decision.decisions_by_index[1], RunNow)
 
 
-def test_forgetful_target_cannot_deny_a_run() -> None:
+def test_target_that_forgot_runs_cannot_rule_out_a_run() -> None:
     """Guards against a second run of a non-repeatable task that a target forgot.
 
     One target was restarted, or dropped runs whose results were collected. A task
