--- a/src/cassiaturn/platform/_caller_server.py
+++ b/src/cassiaturn/platform/_caller_server.py
@@ -1,4 +1,4 @@
-"""HTTP server of callers' requests, which passes them to the job service."""
+"""Serves callers' HTTP requests and passes their jobs to the job service."""
 
 import asyncio
 import json
@@ -70,7 +70,7 @@
         """Create both servers.
 
         :param callers: the socket that callers connect to; it already listens.
-        :param opened_at: since when it listens, on the monotonic clock, in seconds.
+        :param opened_at: monotonic time since which it listens, in seconds.
         :param readiness: address of the readiness probe for the load balancer.
         :param jobs: accepts the callers' jobs.
         """
--- a/src/cassiaturn/platform/_documents.py
+++ b/src/cassiaturn/platform/_documents.py
@@ -1,4 +1,4 @@
-"""Wire models of the users' platform.
+"""Defines the messages of the users' platform as pydantic models.
 
 On the wire, field names are in camel case. Each model is read or written in one place
 of this package, which maps it to cassiaturn's own names. Unknown fields are ignored,
@@ -32,7 +32,7 @@
     cpu: Count = 0  # Thousandths of a core per task.
     mem_mb: Count = 0
     gpu: Count = 0
-    estimated_ms: Annotated[float, Field(ge=0)] = 0  # Often wrong by half.
+    estimated_ms: Annotated[float, Field(ge=0)] = 0  # Estimate; often off by half.
     after: list[Count] = []
     checkpointing: bool = False
     gang: bool = False
@@ -60,7 +60,7 @@
 
 
 class AdviceTermsDocument(Document):
-    """A queue's terms of the service that advises which targets may run a group."""
+    """Terms on which a queue asks the service that advises where a group may run."""
 
     decision_ms: Annotated[float, Field(ge=0)] = 0
     each_ms: Annotated[float, Field(ge=0)] = 0  # Further time per target asked about.
@@ -68,7 +68,7 @@
 
 
 class RouteDocument(Document):
-    """A queue."""
+    """A queue that callers reach by host name and path prefix."""
 
     name: str
     host: str = ""
@@ -139,7 +139,7 @@
     capacity: CapacityDocument
     labels: list[str] = []
     sequence: int
-    # Only while the target drains.
+    # Sent only while the target drains.
     remaining_ms: Annotated[float, Field(ge=0, allow_inf_nan=False)] = 0
 
 
--- a/src/cassiaturn/platform/_services.py
+++ b/src/cassiaturn/platform/_services.py
@@ -61,7 +61,7 @@
 
         :param jobs: accepts the callers' jobs.
         :param callers: the socket that callers connect to; it already listens.
-        :param opened_at: since when it listens, on the monotonic clock, in seconds.
+        :param opened_at: monotonic time since which it listens, in seconds.
         """
         return CallerServer(
             callers=callers,
--- a/src/cassiaturn/platform/_store_client.py
+++ b/src/cassiaturn/platform/_store_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the platform's store, and the mapping of its errors."""
+"""Calls the platform's store over HTTP and maps its errors."""
 
 from base64 import b64decode
 from binascii import Error as Base64Error
--- a/src/cassiaturn/platform/_targets.py
+++ b/src/cassiaturn/platform/_targets.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's runners, which cassiaturn calls targets."""
+"""Sends orders to the platform's runners, which cassiaturn calls targets."""
 
 from collections.abc import Mapping
 from http import HTTPStatus
@@ -111,7 +111,13 @@
         wait_s: float,
         timeout_s: float,
     ) -> Result[LeaseReport, CallProblem]:
-        """Renew the lease of all runs on a target, and ask for a list of them."""
+        """Renew the lease of all runs on a target and return its list of runs.
+
+        :param ended_seen: highest sequence number of an ended run that was received.
+        :param lease_until_ms: end of the lease on the target's clock, in milliseconds.
+        :param wait_s: how long the target may wait for a run to end before it answers,
+            in seconds.
+        """
         body: dict[str, object] = {
             "fencingToken": authority.token,
             # Acknowledges all ended runs up to this sequence number.
--- a/src/cassiaturn/platform/_watched_table.py
+++ b/src/cassiaturn/platform/_watched_table.py
@@ -1,4 +1,4 @@
-"""Reads lists in the platform's store and follows their changes."""
+"""Reads tables of the platform's store and follows their changes."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -30,7 +30,7 @@
 
 
 class WatchedTable(Generic[EntryT]):
-    """A list in the store whose changes can be polled."""
+    """A table of the store whose changes can be polled."""
 
     def __init__(
         self,
@@ -40,12 +40,12 @@
         decode: Callable[[str, bytes], EntryT | None],
         keys: frozenset[str] | None = None,
     ) -> None:
-        """Create a reader of one list.
+        """Create a reader of one table.
 
         :param store: client of the store.
         :param table: name of the table.
         :param decode: decodes a row's key and value; returns None if malformed.
-        :param keys: keys that belong to the list; None for all.
+        :param keys: keys of the rows to read; None for all.
         """
         self._store = store
         self._table = table
--- a/src/cassiaturn/platform/tests/fleet.py
+++ b/src/cassiaturn/platform/tests/fleet.py
@@ -26,7 +26,8 @@
 PREFIX = "/jobs/"
 
 DEFAULT_LINK_MBPS = 12.5
-"""Link of a member unless a test states another, in megabits per second; narrow."""
+"""Bandwidth of a member's link unless a test sets another, in megabits per second; too
+narrow for a leader of many callers."""
 
 CONFIGURATION = {
     "version": 3,
@@ -172,7 +173,7 @@
         for index in range(3):
             await self.add_member(f"front-{index}")
         await self.until(lambda: all(member.member.is_ready for member in self.members))
-        await self.until(lambda: self.heard_targets() == 4)
+        await self.until(lambda: self.count_reporting_targets() == 4)
 
     def publish(self, runner: StandinRunner, state: str = "ready") -> None:
         """Write a runner's directory entry."""
@@ -202,7 +203,7 @@
             member for member in self.members if member.member.leader is not None
         )
 
-    def heard_targets(self) -> int:
+    def count_reporting_targets(self) -> int:
         """Return how many targets have reported to the leader; 0 without a leader."""
         return max(member.member.leader_hears_targets for member in self.members)
 
--- a/src/cassiaturn/platform/tests/test_boundary.py
+++ b/src/cassiaturn/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""Only the adapter uses the platform's names, and the adapter stays small."""
+"""Tests that only the adapter uses the platform's names, and that it stays small."""
 
 import re
 from pathlib import Path
--- a/src/cassiaturn/platform/tests/test_caller_limits.py
+++ b/src/cassiaturn/platform/tests/test_caller_limits.py
@@ -1,4 +1,4 @@
-"""Callers whose own timeout differs from that of their route."""
+"""Tests of callers whose own timeout differs from that of their route."""
 
 import asyncio
 import time
@@ -53,7 +53,7 @@
 async def test_a_job_longer_than_its_routes_timeout_is_served(
     long_runs: Fleet, timeout_header: str
 ) -> None:
-    """Jobs were ended at their route's timeout although the caller still waited."""
+    """Guards against ending a job at its route's timeout while its caller waits."""
     await _publish(long_runs, 5, timeout_ms=200)
     assert (await _submit(long_runs, 1, timeout_header))[:2] == COMPLETED
 
@@ -61,7 +61,7 @@
 async def test_changing_a_route_timeout_ends_no_running_job(
     long_runs: Fleet,
 ) -> None:
-    """An operator shortened a route's timeout, and running jobs were ended."""
+    """Guards against ending running jobs when a route's timeout is shortened."""
     waiting = []
     for version, timeout_ms in ((5, 1500), (6, 100), (9, 0), (12, 300)):
         await _publish(long_runs, version, timeout_ms=timeout_ms)
@@ -76,7 +76,7 @@
 async def test_a_caller_with_a_shorter_timeout_than_its_route_is_answered_in_time(
     long_runs: Fleet,
 ) -> None:
-    """A caller was answered only after its own timeout."""
+    """Guards against an answer after the caller's own timeout."""
     await _publish(long_runs, 5, timeout_ms=4000)
     began_at = time.monotonic()
     assert (await _submit(long_runs, 1, "300"))[0] == 504
--- a/src/cassiaturn/platform/tests/test_decode.py
+++ b/src/cassiaturn/platform/tests/test_decode.py
@@ -1,4 +1,4 @@
-"""Decoding of the platform's messages, valid and hostile."""
+"""Tests of decoding the platform's messages, valid, malformed and random."""
 
 import json
 from typing import Any
--- a/src/cassiaturn/platform/tests/test_directory_changes.py
+++ b/src/cassiaturn/platform/tests/test_directory_changes.py
@@ -1,4 +1,4 @@
-"""Traffic from the leader to its followers when targets or members change."""
+"""Tests of the leader's traffic to its followers when targets or members change."""
 
 import asyncio
 import time
@@ -58,12 +58,13 @@
 async def test_targets_that_drain_together_do_not_saturate_the_leaders_link(
     fleet: Fleet,
 ) -> None:
-    """23 of 250 targets start draining at once.
+    """Guards against answers that are late for seconds when many targets drain.
 
-    For every single change the leader sent the whole list of members and targets to
-    each follower. On a link of 12.5 MB/s the lists took up to 15 MB/s and frames waited
-    for 1.4 s, while the event loop was at most 31 ms late. Orders to targets timed out,
-    nearly all targets counted as silent, and callers got no answer in time for seconds.
+    23 of 250 targets start draining at once while all others keep working. If the
+    leader sends the whole list of members and targets to each follower for every single
+    change, the lists take up to 15 MB/s on a link of 12.5 MB/s, and frames wait for
+    1.4 s, although the event loop is at most 31 ms late. Orders to targets time out and
+    nearly all targets count as silent.
     """
     await _publish_many(fleet)
     before = _sent_bytes(fleet)
@@ -84,10 +85,10 @@
 async def test_a_joining_member_does_not_saturate_the_leaders_link(
     fleet: Fleet,
 ) -> None:
-    """A member joins; after a change of leader, all members join almost at once.
+    """Guards against sending the whole list to every follower when one member joins.
 
-    For each of them, the leader sent the whole list of members and targets to every
-    follower, although only one member had changed.
+    After a change of leader, all members join almost at once. The list of members and
+    targets, sent to each follower for each of them, would saturate the link.
     """
     await _publish_many(fleet)
     before = dict(fleet.leader().member.load.bytes_by_follower)
@@ -104,10 +105,10 @@
 async def test_the_queue_is_counted_once_for_the_heartbeats_of_all_followers(
     fleet: Fleet,
 ) -> None:
-    """Hundreds of followers get a heartbeat every 0.15 s while thousands of jobs wait.
+    """Guards against late answers because the leader counts its queue too often.
 
-    Counting the queue again for each follower takes the leader's whole processor and
-    delays answers.
+    Hundreds of followers get a heartbeat every 0.15 s while thousands of jobs wait.
+    Counting the queue again for each follower takes the leader's whole processor.
     """
     leader = fleet.leader().member.leader
     assert leader is not None
--- a/src/cassiaturn/platform/tests/test_end_to_end.py
+++ b/src/cassiaturn/platform/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""Members over real sockets: answers to callers, also during failures."""
+"""Tests of members over real sockets: answers to callers, also during failures."""
 
 import asyncio
 from typing import Any
@@ -41,13 +41,15 @@
 async def test_tasks_run_in_the_failure_domain_of_the_member_that_was_asked(
     fleet: Fleet,
 ) -> None:
-    """A network partition ended jobs whose tasks ran on the other side of it."""
+    """Guards against jobs that end because a network partition cuts off their tasks."""
     elsewhere = StandinRunner("i-elsewhere", zone="b")
     elsewhere.start()
     fleet.runners.append(elsewhere)
     fleet.publish(elsewhere)
     member = await fleet.add_member("front-elsewhere", failure_domain="b")
-    await fleet.until(lambda: fleet.heard_targets() == 5 and member.member.is_ready)
+    await fleet.until(
+        lambda: fleet.count_reporting_targets() == 5 and member.member.is_ready
+    )
     jobs_by_member = {member: "b" * 16, fleet.leader(): "a" * 16}
     for asked, job_id in jobs_by_member.items():
         assert (await fleet.submit(asked, job_id, count=3))[0] == 200
@@ -130,6 +132,7 @@
 
 
 async def test_an_older_configuration_is_ignored(fleet: Fleet) -> None:
+    """Guards against going back to an older version of the configuration."""
     fleet.store.state.put("op", "config", _configuration(9))
     await fleet.until(
         lambda: all(member.member.routing.version == 9 for member in fleet.members)
@@ -140,6 +143,7 @@
 
 
 async def test_a_malformed_configuration_is_ignored(fleet: Fleet) -> None:
+    """Guards against losing the configuration when a malformed one is published."""
     fleet.store.state.put("op", "config", '{"version": "none"}')
     await asyncio.sleep(0.2)
     assert {member.member.routing.version for member in fleet.members} == {3}
@@ -166,7 +170,7 @@
     fleet.publish(extra)
     for runner in fleet.runners[:4]:
         fleet.publish(runner, "draining")
-    await fleet.until(lambda: fleet.heard_targets() == 5)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 5)
     await asyncio.sleep(0.5)
     before = [len(runner.starts) for runner in fleet.runners[:4]]
     for index in range(4):
@@ -196,6 +200,7 @@
 
 
 async def test_the_last_member_serves_alone(fleet: Fleet) -> None:
+    """Guards against refusing callers after all other members were killed."""
     await fleet.kill(fleet.leader())
     await fleet.until(lambda: any(member.member.leader for member in fleet.members))
     await fleet.kill(fleet.leader())
@@ -225,6 +230,7 @@
 
 
 async def test_a_killed_followers_jobs_are_stopped(fleet: Fleet) -> None:
+    """Guards against tasks that run on after the member of their caller was killed."""
     for runner in fleet.runners:
         runner.run_s = 1.2
     follower = fleet.followers()[0]
@@ -238,6 +244,7 @@
 
 
 async def test_tasks_of_a_disconnected_caller_are_stopped(fleet: Fleet) -> None:
+    """Guards against tasks that run on although their caller closed its connection."""
     for runner in fleet.runners:
         runner.run_s = 1.0
     waiting = asyncio.ensure_future(fleet.submit(fleet.followers()[0], JOB, count=4))
@@ -250,6 +257,7 @@
 
 
 async def test_jobs_are_served_during_a_store_outage(fleet: Fleet) -> None:
+    """Guards against refusing jobs while the store refuses every call."""
     fleet.store.state.fault = Fault.BUSY
     for index in range(6):
         answer = await fleet.submit(fleet.members[index % 3], f"{index:016x}")
@@ -272,6 +280,7 @@
 
 
 async def test_a_claim_whose_answer_is_lost_still_leads(fleet: Fleet) -> None:
+    """Guards against having no leader when the store loses the answer to a claim."""
     fleet.store.state.fault = Fault.ANSWER_LOST
     await fleet.kill(fleet.leader())
     await fleet.until(lambda: any(member.member.leader for member in fleet.members))
@@ -279,6 +288,7 @@
 
 
 async def test_a_new_member_without_a_store_joins_by_its_seeds(fleet: Fleet) -> None:
+    """Guards against a member that cannot start while the store refuses every call."""
     fleet.store.state.fault = Fault.BUSY
     member = await fleet.add_member("front-new")
     await fleet.until(lambda: member.member.is_ready)
@@ -302,6 +312,7 @@
 
 
 async def test_a_member_without_configuration_refuses_callers() -> None:
+    """Guards against accepting jobs before a configuration was read."""
     fleet = Fleet()
     fleet.store.start()
     member = await fleet.add_member("front-0")
@@ -312,6 +323,7 @@
 
 
 async def test_the_readiness_probe_fails_after_a_planned_stop(fleet: Fleet) -> None:
+    """Guards against new callers at a member that is stopping."""
     member = fleet.followers()[0]
     assert await fleet.readiness(member) == 200
     await member.member.stop()
@@ -332,8 +344,8 @@
     """
     for runner in fleet.runners:
         runner.token *= 5
-    await fleet.until(lambda: fleet.heard_targets() == 0)
-    await fleet.until(lambda: fleet.heard_targets() == 4, 12.0)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 0)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 4, 12.0)
     await fleet.until(lambda: all(member.member.is_ready for member in fleet.members))
     for index, member in enumerate(fleet.members):
         assert (await fleet.submit(member, f"{index:016x}"))[0] == 200
@@ -396,7 +408,7 @@
     leader = fleet.leader()
     await leader.member.stop()
     await fleet.until(lambda: leader.member.leader is None, timeout_s=2.0)
-    await fleet.until(lambda: fleet.heard_targets() == 4, timeout_s=2.0)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 4, timeout_s=2.0)
     others = [each for each in fleet.members if each is not leader]
     await fleet.until(lambda: all(each.member.is_ready for each in others), 2.0)
     for index, member in enumerate(fleet.members):
@@ -404,9 +416,10 @@
 
 
 async def test_a_token_is_raised_during_a_store_outage(fleet: Fleet) -> None:
+    """Guards against targets that refuse a leader's orders until the store is back."""
     fleet.store.state.fault = Fault.BUSY
     for runner in fleet.runners:
         runner.token *= 5
-    await fleet.until(lambda: fleet.heard_targets() == 0)
-    await fleet.until(lambda: fleet.heard_targets() == 4, 12.0)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 0)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 4, 12.0)
     assert (await fleet.submit(fleet.followers()[0], JOB))[0] == 200
--- a/src/cassiaturn/platform/tests/test_foreign_entries.py
+++ b/src/cassiaturn/platform/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Directory entries written by others than targets."""
+"""Tests of malformed or foreign directory entries and leader rows."""
 
 import json
 from typing import Any
@@ -115,10 +115,10 @@
 @settings(max_examples=300)
 @given(st.sampled_from(["token", "term", "member_id", "address"]), JSON)
 def test_any_leader_row_is_decoded_or_rejected(field: str, value: Any) -> None:
-    """Every member that loses its leader reads a row that another writer made.
+    """Guards against a value out of range that ends each process that reads the row.
 
-    Its numbers are sent to other members as 64-bit integers, and its address is
-    connected to. A value out of range would end each process that reads it.
+    Every member that loses its leader reads a row that another writer made. Its numbers
+    are sent to other members as 64-bit integers, and its address is connected to.
     """
     row = {**json.loads(LEADERSHIP.to_value(1)), field: value}
     leadership = Leadership.from_value(json.dumps(row))
@@ -129,12 +129,12 @@
 
 
 async def test_foreign_entries_do_not_affect_callers(fleet: Fleet) -> None:
-    """Another writer adds entries to the directory while callers submit jobs.
+    """Guards against using directory entries that no target wrote.
 
     Entries with a service that is not configured, an unknown state, missing or
-    mistyped fields, or random bytes are listed beside those of four targets. Taken for
-    a target, the process at such an address would be sent callers' jobs, and a leader
-    that waits for its list of runs would start nothing.
+    mistyped fields, or random bytes are listed beside those of four targets. If one
+    counted as a target, the process at its address would be sent callers' jobs, and a
+    leader that waits for its list of runs would start nothing.
     """
     stranger = {**fleet.runners[0].entry(), "address": "127.0.0.1:9"}
     foreign: dict[str, object] = {
@@ -150,7 +150,7 @@
     # The new leader reads the whole list, the old one read only changes.
     await fleet.kill(fleet.leader())
     await fleet.until(lambda: all(member.member.is_ready for member in fleet.members))
-    await fleet.until(lambda: fleet.heard_targets() == 4)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 4)
     leader = fleet.leader().member.leader
     assert leader is not None
     assert set(leader.tables.targets_by_id) == {f"i-{index}" for index in range(4)}
@@ -161,7 +161,7 @@
 async def test_a_target_is_used_once_its_service_is_configured(
     fleet: Fleet,
 ) -> None:
-    """A target is registered before the configuration names its service.
+    """Guards against never using a target that is registered before its service.
 
     It gets work as soon as the service is configured, and none after its removal.
     """
--- a/src/cassiaturn/platform/tests/test_routing_distribution.py
+++ b/src/cassiaturn/platform/tests/test_routing_distribution.py
@@ -1,4 +1,4 @@
-"""When the leader sends the configuration to followers, and the traffic it causes."""
+"""Tests of when the leader sends the configuration to followers, and how often."""
 
 import asyncio
 
@@ -34,10 +34,11 @@
 async def test_a_configuration_that_all_members_can_read_is_not_sent_by_the_leader(
     fleet: Fleet,
 ) -> None:
-    """Operators publish 1,400 routes; every member reads them from the table service.
+    """Guards against orders that wait behind a configuration that needs no sending.
 
-    The leader sent the document at once to each follower that had not reported the new
-    version yet: orders to targets waited behind 0.3 MB for each of 28 followers.
+    Operators publish 1,400 routes, and every member reads them from the table service.
+    If the leader sent them at once to each follower that has not reported the new
+    version yet, orders to targets would wait behind 0.3 MB for each of 28 followers.
     """
     leader = fleet.leader()
     fleet.store.state.put("op", "config", _large_configuration(5))
@@ -49,14 +50,15 @@
 async def test_members_that_join_with_the_current_configuration_are_not_sent_it(
     fleet: Fleet,
 ) -> None:
-    """A leader dies, and the others join its successor with the same configuration.
+    """Guards against sending a configuration to followers that already have it.
 
-    The successor sent the document to each of them while it took over all runs.
+    A leader dies, and the others join its successor with the same configuration. The
+    documents would add to the traffic with which the successor takes over all runs.
     """
     fleet.store.state.put("op", "config", _large_configuration(5))
     await _wait_for_version(fleet, 5)
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: fleet.heard_targets() == 4)
+    await fleet.until(lambda: fleet.count_reporting_targets() == 4)
     await fleet.until(lambda: all(member.member.is_ready for member in fleet.members))
     await asyncio.sleep(1.0)
     assert _routing_bytes_sent(fleet.leader()) == 0
@@ -65,10 +67,11 @@
 async def test_a_follower_without_the_store_is_sent_the_configuration_once(
     fleet: Fleet,
 ) -> None:
-    """A follower cannot reach the table service, and receives slowly.
+    """Guards against sending a configuration again while it is in transit.
 
-    Its heartbeats name the old version while the new one is in transit. For each of
-    them the leader sent the document again, which made a slow link slower.
+    A follower cannot reach the table service and receives slowly, so its heartbeats
+    name the old version for a while. Sending the document again for each of them would
+    make a slow link slower.
     """
     leader = fleet.leader()
     cut_off = fleet.followers()[0]
--- a/src/cassiaturn/platform/tests/test_silent_leader.py
+++ b/src/cassiaturn/platform/tests/test_silent_leader.py
@@ -1,4 +1,4 @@
-"""Answers to callers while the leader or its connections are silent."""
+"""Tests of answers to callers while the leader or its connections are silent."""
 
 import asyncio
 import time
@@ -33,10 +33,11 @@
 
 
 async def test_tasks_continue_when_the_leaders_host_freezes(fleet: Fleet) -> None:
-    """The leader's host freezes while a follower's job of 1.2 s runs.
+    """Guards against losing or repeating runs when the leader's host freezes.
 
-    Targets continue until their leases expire. A successor that asks them before that
-    finds the runs in their lists and adopts them, so that the caller gets its answer.
+    A follower's job of 1.2 s is running. Targets continue until their leases expire. A
+    successor that asks them before that finds the runs in their lists and adopts them,
+    so that the caller gets its answer.
     """
     for runner in fleet.runners:
         runner.run_s = 1.2
@@ -49,9 +50,9 @@
 async def test_tasks_continue_when_the_leaders_host_freezes_during_a_store_outage(
     fleet: Fleet,
 ) -> None:
-    """The leader's host freezes while the store answers no call.
+    """Guards against a successor that waits for the store and finds leases expired.
 
-    A successor that waits for the store first would come after the leases expire.
+    The leader's host freezes while a job runs and the store answers no call.
     """
     for runner in fleet.runners:
         runner.run_s = 1.2
@@ -77,7 +78,10 @@
 async def test_a_job_that_never_started_does_not_wait_for_a_silent_target(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A job in transit to a lost leader waited for leases, and was abandoned."""
+    """Guards against abandoning a job in transit to a lost leader.
+
+    It never started, so it need not wait until the lease of a silent target expires.
+    """
     monkeypatch.setattr(_cpu_headroom, "LATE_S", float("inf"))
     monkeypatch.setattr(_cpu_headroom, "BUSY_SHARE", float("inf"))
     follower = fleet.followers()[0]
@@ -178,6 +182,7 @@
 
 
 async def test_the_smaller_side_of_a_partition_keeps_its_term(fleet: Fleet) -> None:
+    """Guards against a new term on the side of a partition with fewer members."""
     leader = fleet.leader()
     before = leader.member.known_leadership
     for _ in range(3):
--- a/src/cassiaturn/platform/tests/test_start.py
+++ b/src/cassiaturn/platform/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Answers to callers while a member starts, and its imports before it can serve."""
+"""Tests of answers to callers while a member starts, and of what it imports."""
 
 import asyncio
 import json
@@ -54,9 +54,10 @@
 def test_a_member_does_not_import_modules_of_the_other_deployment(
     modules: set[str], module: str
 ) -> None:
-    """After a power loss of all hosts, callers get no answer until imports are done.
+    """Guards against a slow start because of imports that a member does not need.
 
-    Modules of the other deployment took a tenth of that time.
+    After a power loss of all hosts, callers get no answer until imports are done, and
+    modules of the other deployment take a tenth of that time.
     """
     assert "cassiaturn.fleet" in modules
     assert module not in modules
@@ -80,10 +81,11 @@
 async def test_callers_that_connect_while_a_member_starts_are_served(
     tmp_path: Path,
 ) -> None:
-    """A host restarts, and callers connect before the member's imports are done.
+    """Guards against refusing callers that connect before the imports are done.
 
-    If refused, they would retry after 1.3 s of the 1.5 s that they wait. Their
-    connections must wait instead, and the new process serves the jobs.
+    After a restart of the host, refused callers would retry after 1.3 s of the 1.5 s
+    that they wait. Their connections must wait instead, and the new process serves the
+    jobs.
     """
     store = StandinStore()
     store.start()
--- a/src/cassiaturn/platform/tests/test_store.py
+++ b/src/cassiaturn/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store behind cassiaturn's own interfaces, including failures."""
+"""Tests of the clients of the store, including failed calls."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -131,6 +131,7 @@
 
 
 async def test_a_malformed_row_hides_no_other_row(connected: Connected) -> None:
+    """Guards against losing a whole table because one value is not base64."""
     connected.state.put("op", "a", "1")
     connected.state.commit([("op", "", "bad", "not base64!")])
     snapshot = (await connected.watched.snapshot()).unwrap()
@@ -151,6 +152,7 @@
 
 
 async def test_one_of_two_claims_wins(connected: Connected) -> None:
+    """Guards against two leaders that claim the same row at the same time."""
     rows = [LeaderRow(table=connected.table) for _ in range(2)]
     assert [(await row.read()).state for row in rows] == [RowState.ABSENT] * 2
     claims = [_leadership(10), _leadership(20)]
@@ -159,6 +161,7 @@
 
 
 async def test_a_claim_whose_answer_is_lost_is_read_back(connected: Connected) -> None:
+    """Guards against giving up a claim that was stored but not acknowledged."""
     row = LeaderRow(table=connected.table)
     await row.read()
     connected.state.fault = Fault.ANSWER_LOST
@@ -179,7 +182,10 @@
 async def test_only_a_later_leader_overwrites_the_row(
     connected: Connected,
 ) -> None:
-    """A leader that claimed during a store outage writes the row afterwards."""
+    """Guards against an earlier leader that overwrites the row of a later one.
+
+    The later leader claimed during a store outage and writes the row afterwards.
+    """
     rows = [LeaderRow(table=connected.table) for _ in range(2)]
     await rows[0].read()
     await rows[0].claim(_leadership(10))
--- a/src/cassiaturn/platform/tests/test_wide_links.py
+++ b/src/cassiaturn/platform/tests/test_wide_links.py
@@ -1,4 +1,4 @@
-"""Choice of the leader when the hosts' links differ in bandwidth."""
+"""Tests of the choice of the leader when the hosts' links differ in bandwidth."""
 
 import asyncio
 from dataclasses import replace
@@ -33,10 +33,11 @@
 async def test_a_stopping_leader_hands_over_to_a_member_with_a_wide_link(
     fleet: Fleet, extra_members: int
 ) -> None:
-    """A leader stops as planned; three of four possible successors have narrow links.
+    """Guards against a stopping leader that hands over to a member with a narrow link.
 
     Such a link cannot carry the orders for all callers, so that half of them time out
-    until the next change of leader. The member heard from last was asked to lead.
+    until the next change of leader. With one extra member, three of four possible
+    successors have one, and the member heard from last may be among them.
     """
     (wide,) = await _with_wide_members(fleet, 1)
     for number in range(extra_members):
@@ -49,21 +50,21 @@
 async def test_a_member_with_a_wide_link_replaces_a_killed_leader(
     fleet: Fleet, extra_members: int
 ) -> None:
-    """A leader's process ends, and members with narrow and wide links can succeed it.
+    """Guards against a member with a narrow link that succeeds a killed leader.
 
-    Members claim in an order that all agree on. When addresses alone gave the order,
-    the member with the first address led, whatever the bandwidth of its link.
+    Members claim in an order that all agree on. If addresses alone gave the order, the
+    member with the first address would lead, whatever the bandwidth of its link.
     """
     wide = await _with_wide_members(fleet, 1 + extra_members)
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: fleet.heard_targets() == len(fleet.runners))
+    await fleet.until(lambda: fleet.count_reporting_targets() == len(fleet.runners))
     assert fleet.leader() in wide
 
 
 async def test_a_member_with_a_wide_link_leads_despite_late_first_answers(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A busy member with a wide link answers one request late, and a narrow link leads.
+    """Guards against passing over a member with a wide link that answers late once.
 
     The leader's process has ended, and the wide member answers the first requests of
     its peers after their timeout. If it counted as gone, it would be passed over until
@@ -88,14 +89,18 @@
 
     monkeypatch.setattr(wide.member._peers, "look", look_late)
     await fleet.kill(fleet.leader())
-    await fleet.until(lambda: fleet.heard_targets() == len(fleet.runners))
+    await fleet.until(lambda: fleet.count_reporting_targets() == len(fleet.runners))
     assert fleet.leader() is wide
 
 
 async def test_a_leader_with_a_saturated_link_hands_over_to_a_wide_one(
     fleet: Fleet,
 ) -> None:
-    """After a power loss of all, the first process back led, with a narrow link."""
+    """Guards against a leader that keeps leading although its narrow link is saturated.
+
+    After a power loss of all hosts, the first process that is back leads, whatever the
+    bandwidth of its link.
+    """
     (wide,) = await _with_wide_members(fleet, 1)
     narrow = fleet.leader()
     narrow.member.settings = replace(narrow.member.settings, link_mbps=0.02)
@@ -109,10 +114,11 @@
 
 
 async def test_a_stopped_leader_is_not_asked_to_lead_again(fleet: Fleet) -> None:
-    """Two leaders are stopped within seconds; the first has the widest link.
+    """Guards against handing over to a member that is stopping itself.
 
-    The first one follows the second while it finishes its callers' jobs. It did not
-    tell the second that it is stopping, and was asked to lead when the second stopped.
+    Two leaders are stopped within seconds, and the first has the widest link. It
+    follows the second while it finishes its callers' jobs. Unless it says that it is
+    stopping, it is asked to lead when the second stops.
     """
     first = fleet.leader()
     first.member.settings = replace(first.settings, link_mbps=WIDE_MBPS)
