--- a/src/cassiaturn/engine/_intake.py
+++ b/src/cassiaturn/engine/_intake.py
@@ -145,18 +145,12 @@
 def _validate(state: State, submission: Submission) -> tuple[Reason, str] | None:
     settings = state.settings
     if state.draining and not submission.resumed:
-        return (
-            Reason.DRAINING,
-            "this instance is stopping; get a ticket from another one",
-        )
+        return Reason.DRAINING, "this instance is stopping; take a ticket elsewhere"
     if submission.tenant not in state.tenants_by_name:
-        problem = "not in the shared configuration"
+        problem = "the shared configuration names no such tenant"
         return Reason.UNKNOWN_TENANT, f"tenant '{submission.tenant}': {problem}"
     if submission.method not in state.schema.methods_by_name:
-        return (
-            Reason.INVALID,
-            f"no schema of this instance has method '{submission.method}'",
-        )
+        return Reason.INVALID, f"method '{submission.method}' is in no schema here"
     count = len(submission.payloads)
     if not 1 <= count <= settings.max_tasks_per_job:
         allowed = f"1 to {settings.max_tasks_per_job} are allowed"
--- a/src/cassiaturn/engine/_settle.py
+++ b/src/cassiaturn/engine/_settle.py
@@ -83,7 +83,7 @@
         outcome=Outcome.UNKNOWN,
         ran=Ran.MAYBE,
         reason=Reason.SUPERSEDED,
-        detail="another instance took over; submit the same id again for the outcome",
+        detail="another instance took over; submit the same id again to learn",
         tasks_done=len(job.results) - job.remaining,
         tasks_total=len(job.results),
     )
@@ -105,7 +105,7 @@
     if job is None:
         return False
     possibly_run = [r for r in job.records if r.state is TaskState.SPILLED]
-    detail = f"cancelled with {job.remaining} tasks unfinished"
+    detail = f"cancelled with {job.remaining} tasks to go"
     settle_incomplete(
         state, job, Reason.CANCELLED, detail, now, possibly_run=possibly_run
     )
--- a/src/cassiaturn/engine/_sweep.py
+++ b/src/cassiaturn/engine/_sweep.py
@@ -41,7 +41,7 @@
 
 def _expire_jobs(state: State, now: float) -> None:
     while (job := state.pop_deadline(now)) is not None:
-        detail = f"the deadline passed with {job.remaining} tasks unfinished"
+        detail = f"the deadline passed with {job.remaining} tasks to go"
         possibly_run = [r for r in job.records if r.state is TaskState.SPILLED]
         settle_incomplete(
             state, job, Reason.DEADLINE, detail, now, possibly_run=possibly_run
--- a/src/cassiaturn/server/_router.py
+++ b/src/cassiaturn/server/_router.py
@@ -376,7 +376,7 @@
     return Answer.unknown(
         submission_id,
         Reason.STORE_UNREACHABLE,
-        "the table service did not return the owner of this id; submit it again",
+        "the table service did not say whose this id is; submit it again",
         retry_after_ms=UNKNOWN_RETRY_MS,
     )
 
@@ -387,7 +387,7 @@
         outcome=Outcome.UNKNOWN,
         ran=Ran.EVERYTHING,
         reason=Reason.STORE_UNREACHABLE,
-        detail="it is complete, but the object store did not return its results",
+        detail="it is complete, but the object store with its results is silent",
         retry_after_ms=UNKNOWN_RETRY_MS,
         tasks_done=answer.tasks_done,
         tasks_total=answer.tasks_total,
