--- a/src/cassiaturn/entities/__init__.py
+++ b/src/cassiaturn/entities/__init__.py
@@ -1,4 +1,4 @@
-"""Values that every part of the dispatcher shares."""
+"""Value types that all packages of the dispatcher share."""
 
 from typing import TYPE_CHECKING
 
--- a/src/cassiaturn/entities/_address.py
+++ b/src/cassiaturn/entities/_address.py
@@ -1,14 +1,14 @@
-"""A place that a process listens at."""
+"""The network address that a process listens on."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a TCP port."""
 
     host: str
-    """IP number."""
+    """IP address."""
 
     port: int
     """TCP port, 1 to 65535."""
--- a/src/cassiaturn/entities/_answer.py
+++ b/src/cassiaturn/entities/_answer.py
@@ -1,4 +1,4 @@
-"""The answer of a submission, as a value."""
+"""The answer to a submission and its conversion to and from protobuf."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 
 class Outcome(IntEnum):
-    """How a submission ended, as its caller is told."""
+    """Outcome of a submission, as reported to its caller."""
 
     COMPLETE = pb.OUTCOME_COMPLETE
     FAILED = pb.OUTCOME_FAILED
@@ -18,7 +18,7 @@
 
 
 class Ran(IntEnum):
-    """What is known to have run of a submission that is not complete."""
+    """Which tasks of a submission that is not complete are known to have run."""
 
     UNSPECIFIED = pb.RAN_UNSPECIFIED
     NOTHING = pb.RAN_NOTHING
@@ -50,41 +50,41 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """What a caller receives for a submission: whole, or none of it.
+    """Answer to a submission, with either all of its results or none.
 
-    ``results`` is filled only with :attr:`Outcome.COMPLETE`; a part of a job's
-    results is never shown. ``NOT_RUN`` is final for its submission id.
+    ``results`` is set only with :attr:`Outcome.COMPLETE`; partial results are never
+    returned. :attr:`Outcome.NOT_RUN` is final for its submission id.
     """
 
     submission_id: str
-    """The submission that this answers."""
+    """Id of the submission that this answers."""
 
     outcome: Outcome
-    """How it ended."""
+    """Outcome of the submission."""
 
     ran: Ran = Ran.UNSPECIFIED
-    """What ran, where the outcome is not complete."""
+    """Which tasks ran, if the outcome is not complete."""
 
     reason: Reason = Reason.NONE
-    """Why it is not complete."""
+    """Why the submission is not complete."""
 
     detail: str = ""
-    """One sentence for people."""
+    """Explanation for humans, in one sentence."""
 
     results: Sequence[bytes] = ()
-    """One serialized reply a task, in the order submitted."""
+    """One serialized reply per task, in the order submitted."""
 
     retry_after_ms: int = 0
-    """When to come back with a new id, in milliseconds; 0: no advice."""
+    """Delay before a retry with a new id, in milliseconds; 0: no advice."""
 
     tasks_done: int = 0
-    """Tasks whose result is known."""
+    """Number of tasks whose result is known."""
 
     tasks_total: int = 0
-    """Tasks of the submission."""
+    """Number of tasks in the submission."""
 
     result_object: str = ""
-    """Key in the object store, in place of results too large to keep."""
+    """Object store key of results that are too large to keep; empty: none."""
 
     @classmethod
     def unknown(
@@ -96,9 +96,11 @@
         retry_after_ms: int = 0,
         tasks_total: int = 0,
     ) -> "Answer":
-        """Return the answer of one who cannot say truthfully what ran.
+        """Return an answer for a process that cannot tell what ran.
 
-        It is not final: whoever can say more may answer later.
+        The answer is not final: a process that knows more may answer later.
+
+        :param retry_after_ms: delay before a retry, in milliseconds; 0: no advice.
         """
         return cls(
             submission_id=submission_id,
@@ -112,11 +114,11 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the home will never say anything else for this id."""
-        return self.outcome in _FINAL
+        """Whether the submission's home process never changes this answer."""
+        return self.outcome in _FINAL_OUTCOMES
 
     def to_message(self) -> pb.Answer:
-        """Return the answer as the message that callers receive."""
+        """Return the protobuf message that callers receive."""
         return pb.Answer(
             submission_id=self.submission_id,
             outcome=int(self.outcome),  # type: ignore[arg-type]
@@ -132,10 +134,11 @@
 
     @classmethod
     def from_message(cls, message: pb.Answer) -> "Answer":
-        """Return the answer that a message carries.
+        """Return the answer that a protobuf message carries.
 
         :param message: an answer with every field in its range.
-        :raises ValueError: an enum field holds a value unknown here.
+        :raises ValueError: if an enum field has a value that this version does not
+            know.
         """
         return cls(
             submission_id=message.submission_id,
@@ -151,4 +154,4 @@
         )
 
 
-_FINAL = frozenset({Outcome.COMPLETE, Outcome.FAILED, Outcome.NOT_RUN})
+_FINAL_OUTCOMES = frozenset({Outcome.COMPLETE, Outcome.FAILED, Outcome.NOT_RUN})
--- a/src/cassiaturn/entities/_method.py
+++ b/src/cassiaturn/entities/_method.py
@@ -1,4 +1,4 @@
-"""What an operator's schema declares about a request."""
+"""Methods that an operator's schema declares, with their options."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -8,7 +8,7 @@
 
 
 class RequestClass(IntEnum):
-    """How soon a request matters; a lower value goes first."""
+    """Priority class of a request; lower values are scheduled first."""
 
     URGENT = pb.REQUEST_CLASS_URGENT
     NORMAL = pb.REQUEST_CLASS_NORMAL
@@ -17,22 +17,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Method:
-    """A request that targets serve, with its declared options."""
+    """An RPC method that targets serve, with its declared options."""
 
     name: str
     """Full name, ``package.Service/Method``."""
 
     repeatable: bool
-    """Whether a task may run again once an earlier run is over."""
+    """Whether a task may run again after an earlier run is over."""
 
     request_class: RequestClass
-    """How soon it matters."""
+    """Priority class of the method's tasks."""
 
     expected_run_ms: int
-    """Declared run time of a task, often far off."""
+    """Declared run time of a task, in milliseconds; often inaccurate."""
 
     deadline_ms: int
-    """Default deadline of a submission, from its acceptance."""
+    """Default deadline of a submission, in milliseconds from its acceptance."""
 
     resources: Resources
-    """What one task takes of a worker."""
+    """Resources that one task needs on a worker."""
--- a/src/cassiaturn/entities/_resources.py
+++ b/src/cassiaturn/entities/_resources.py
@@ -1,17 +1,17 @@
-"""What tasks take of a worker."""
+"""Worker resources that tasks need."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Resources:
-    """What one task takes of a worker, or what a worker has."""
+    """Resources that one task needs, or that a worker has."""
 
     cpu_millis: int = 0
-    """Processor time, in thousandths of a core."""
+    """CPU share, in thousandths of a core."""
 
     memory_mib: int = 0
     """Memory, in MiB."""
 
     accelerators: int = 0
-    """Whole accelerators."""
+    """Number of whole accelerators."""
--- a/src/cassiaturn/entities/_run.py
+++ b/src/cassiaturn/entities/_run.py
@@ -1,4 +1,4 @@
-"""What a target says of a start and of a run, by name."""
+"""Statuses and refusal reasons that a target reports for task runs."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class RunStatus(IntEnum):
-    """Whether a begun task runs, or how it ended."""
+    """Whether a started task is still running, or how its run ended."""
 
     RUNNING = pb.TASK_STATUS_RUNNING
     DONE = pb.TASK_STATUS_DONE
@@ -16,7 +16,7 @@
 
 
 class Refusal(IntEnum):
-    """Why a start was not begun and never will be."""
+    """Why a target refused to start a run; a refused start never runs later."""
 
     BUSY = pb.REFUSAL_REASON_BUSY
     LEAVING = pb.REFUSAL_REASON_LEAVING
--- a/src/cassiaturn/entities/_schema.py
+++ b/src/cassiaturn/entities/_schema.py
@@ -1,4 +1,4 @@
-"""The requests of an operator's schema file, by full method name."""
+"""Loads the methods that an operator's schema files declare, by full name."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -13,21 +13,21 @@
 from cassiaturn.v1 import options_pb2 as pb
 
 DEFAULT_DEADLINE_MS = 30_000
-"""Deadline of a method that declares none: well past the longest tasks."""
+"""Deadline of a method that declares none; well above the longest run times."""
 
 DEFAULT_EXPECTED_RUN_MS = 300
-"""Run time of a method that declares none: the middle of 50 ms to 1 s."""
+"""Run time of a method that declares none; mid-range of 50 ms to 1 s."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SchemaError:
-    """Why a schema file is not usable."""
+    """Why a schema file or a method in it was rejected."""
 
     source: str
-    """The file, or the method in it."""
+    """Path of the file, or full name of the method."""
 
     problem: str
-    """What is wrong and what is allowed, in plain language."""
+    """What is wrong and what is allowed, in plain words."""
 
     def __str__(self) -> str:
         return f"{self.source}: {self.problem}"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Schema:
-    """Every request that callers may submit."""
+    """All methods that callers may submit tasks for."""
 
     methods_by_name: Mapping[str, Method]
     """Declared methods, by ``package.Service/Method``."""
@@ -45,14 +45,14 @@
         """Read descriptor sets that ``protoc --descriptor_set_out`` wrote.
 
         :param paths: files of serialized ``FileDescriptorSet`` messages.
-        :returns: the schema, or every problem found.
+        :returns: the schema, or all problems found in the files.
         """
         methods_by_name: dict[str, Method] = {}
         errors: list[SchemaError] = []
         for path in paths:
-            match _read_set(path):
+            match _read_descriptor_set(path):
                 case Success(files):
-                    for method in _methods_of(files, errors):
+                    for method in _declared_methods(files, errors):
                         methods_by_name[method.name] = method
                 case Failure(error):
                     errors.append(error)
@@ -61,7 +61,7 @@
         return Success(cls(methods_by_name=methods_by_name))
 
 
-def _read_set(
+def _read_descriptor_set(
     path: Path,
 ) -> Result[descriptor_pb2.FileDescriptorSet, SchemaError]:
     try:
@@ -80,7 +80,7 @@
     return Success(files)
 
 
-def _methods_of(
+def _declared_methods(
     files: descriptor_pb2.FileDescriptorSet, errors: list[SchemaError]
 ) -> Iterable[Method]:
     for file in files.file:
--- a/src/cassiaturn/entities/_task.py
+++ b/src/cassiaturn/entities/_task.py
@@ -4,14 +4,14 @@
 
 
 class TaskKey(NamedTuple):
-    """Names one task of one submission; equal keys are the same task.
+    """Identifies one task of one submission; equal keys are the same task.
 
-    Use it as the key of every table of tasks. Attempts are no part of it: a
-    second attempt of a repeatable task keeps its key.
+    Tables of tasks are keyed by it. It does not include the attempt: a second
+    attempt of a repeatable task has the same key.
     """
 
     submission_id: str
-    """Id of the submission: a ticket, or the caller's own choice."""
+    """Id of the submission: a ticket, or an id that the caller chose."""
 
     task_index: int
     """Position of the task in the submission, from 0."""
--- a/src/cassiaturn/entities/_workload.py
+++ b/src/cassiaturn/entities/_workload.py
@@ -1,4 +1,4 @@
-"""Jobs whose tasks ask for parts of a worker, and the routes that they come by."""
+"""Jobs with resource requirements, their routes, and what targets report on them."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,13 +9,13 @@
 
 
 class TaskRef(NamedTuple):
-    """Names one task of one job; its runs are numbered beside it."""
+    """Identifies one task of one job; run numbers are kept separately."""
 
     job_id: str
     """Id of the job, chosen by its caller."""
 
     occurrence: int
-    """Which repetition of a scheduled job; 0 for a job that runs once."""
+    """Number of the repetition of a scheduled job; 0 for a job that runs once."""
 
     group: int
     """Position of the task's group in the job, from 0."""
@@ -26,31 +26,31 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TaskGroup:
-    """Equal tasks of a job."""
+    """Tasks of a job that have the same requirements."""
 
     count: int
-    """Tasks in the group."""
+    """Number of tasks in the group."""
 
     resources: Resources
-    """What each task takes of a worker."""
+    """Resources that each task needs on a worker."""
 
     expected_run_s: float = 0.0
-    """Run time that the caller declares, often far off, in seconds; 0: none."""
+    """Run time declared by the caller, in seconds; often inaccurate; 0: none."""
 
     after: tuple[int, ...] = ()
-    """Earlier groups whose tasks must all be done first."""
+    """Positions of earlier groups whose tasks must all be done first."""
 
     required_label: str = ""
-    """Label that the target must have; empty: any target."""
+    """Label that a target must have; empty: any target."""
 
     preferred_rack: str = ""
     """Label of the rack that holds the data; elsewhere tasks take longer."""
 
     max_per_target: int = 0
-    """Tasks of the group on one target at most; 0: no limit."""
+    """Maximum number of the group's tasks on one target; 0: no limit."""
 
     all_or_none: bool = False
-    """Whether the tasks only work while all of them run (a gang)."""
+    """Whether the tasks only make progress while all of them run (a gang)."""
 
     same_rack: bool = False
     """Whether the tasks slow down if they run on more than one rack."""
@@ -59,22 +59,22 @@
     """Whether a run can resume from the progress that an earlier one saved."""
 
     copies_allowed: bool = False
-    """Whether several runs of one task may overlap; the first end counts."""
+    """Whether runs of one task may overlap; the first one to end counts."""
 
     long_running: bool = False
-    """Whether the tasks run until their job is cancelled."""
+    """Whether the tasks run until the job is cancelled."""
 
     image: str = ""
-    """What the tasks run; tasks of one image behave alike."""
+    """Image that the tasks run; tasks with the same image behave alike."""
 
     latency_objective_s: float = 0.0
-    """Tail latency that tasks which serve users must keep, in seconds."""
+    """Tail latency that user-serving tasks must stay within, in seconds."""
 
     fills_leftover: bool = False
-    """Whether the tasks take only processor time that others leave unused."""
+    """Whether the tasks use only CPU time that other tasks leave idle."""
 
     max_unavailable: int | None = None
-    """Tasks that planned work may take away at once; None: not limited."""
+    """Maximum number of tasks that planned work may stop at once; None: no limit."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -82,13 +82,13 @@
     """When the occurrences of a job are due."""
 
     repetitions: int
-    """How many occurrences there are."""
+    """Number of occurrences."""
 
     first_at_ms: int
-    """When the first is due, in Unix milliseconds."""
+    """Due time of the first occurrence, in Unix milliseconds."""
 
     interval_ms: int
-    """Time from one to the next, in milliseconds."""
+    """Time between consecutive due times, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -96,82 +96,82 @@
     """A job as its caller describes it."""
 
     job_id: str
-    """Chosen by the caller; a resubmission bears the same id."""
+    """Id chosen by the caller; a resubmission uses the same id."""
 
     payload: str
-    """What every task is told to do, up to 4,000 bytes."""
+    """Input of every task, up to 4,000 bytes."""
 
     groups: tuple[TaskGroup, ...]
-    """Its groups of tasks, at least one."""
+    """Task groups, at least one."""
 
     must_be_stored: bool = True
-    """Whether it must survive the loss of every process once accepted. False: its
-    caller waits for the end and submits it again if no answer comes."""
+    """Whether the job, once accepted, must survive the loss of every process. False:
+    the caller waits for its end and submits it again if no answer comes."""
 
     schedule: Schedule | None = None
-    """When it runs; None: once, now."""
+    """When the job runs; None: once, immediately."""
 
     @property
     def task_count(self) -> int:
-        """Tasks of one occurrence."""
+        """Number of tasks in one occurrence."""
         return sum(group.count for group in self.groups)
 
 
 class JobStatus(Enum):
-    """Where a job stands, as its caller is told."""
+    """Status of a job, as reported to its caller."""
 
     QUEUED = auto()
     """Accepted; no task has started."""
 
     RUNNING = auto()
-    """A task has started."""
+    """At least one task has started."""
 
     COMPLETED = auto()
     """Every task is done."""
 
     FAILED = auto()
-    """It ended without every task done."""
+    """The job ended before every task was done."""
 
     CANCELLED = auto()
-    """Its caller ended it."""
+    """The caller cancelled the job."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdvicePolicy:
-    """Terms of the service that says which targets may run a group of tasks."""
+    """Limits of the service that advises which targets may run a group of tasks."""
 
     decision_ms: int
-    """Time of a call, in milliseconds."""
+    """Base duration of a call, in milliseconds."""
 
     per_target_ms: float
-    """Further time for each target asked about, in milliseconds."""
+    """Additional duration per target in the call, in milliseconds."""
 
     valid_ms: int
-    """How long an answer holds, in milliseconds."""
+    """How long an answer stays valid, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """A queue that callers reach by host name and path."""
+    """A queue that requests are routed to by host name and path."""
 
     name: str
-    """Its name in the configuration."""
+    """Name in the configuration."""
 
     host: str
-    """Host name of the requests; empty: any."""
+    """Host name that requests must have; empty: any."""
 
     prefix: str
-    """What their paths begin with."""
+    """Prefix that request paths must have."""
 
     service: str
-    """Service whose targets run its tasks."""
+    """Name of the service whose targets run the tasks."""
 
     priority: int = 0
-    """Order among routes; 0 goes first."""
+    """Priority among routes; 0 is served first."""
 
     timeout_s: float = 0.0
-    """What operators set as the longest time of a call, in seconds; 0: nothing. It ends
-    no job: how long the caller of a job waits, its request tells."""
+    """Longest duration of a call that operators configured, in seconds; 0: not set. It
+    does not end jobs: each request states how long its caller waits."""
 
     latency_objective_s: float = 0.0
     """Time that a job may take beyond ``stretch`` times its own work, in seconds."""
@@ -180,10 +180,10 @@
     """Time that a job may take, as a multiple of its longest chain of tasks."""
 
     max_attempts: int = 1
-    """Runs of a task that may fail before its job has failed."""
+    """Number of failed runs of a task after which its job fails."""
 
     advice: AdvicePolicy | None = None
-    """Set where only some targets may run a group, and a service knows which."""
+    """Set if an advice service decides which targets may run a group; None: any may."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -191,27 +191,27 @@
     """A pool of targets that run the same program."""
 
     name: str
-    """Its name in the configuration."""
+    """Name in the configuration."""
 
     admission_check: bool = True
-    """Whether its targets refuse what exceeds their capacity."""
+    """Whether the targets refuse tasks that exceed their capacity."""
 
     connections_per_target: int = 64
-    """Connections that each target takes."""
+    """Number of connections that each target accepts."""
 
     spare: bool = False
-    """Whether its hosts are switched off and held in reserve."""
+    """Whether the hosts are powered off and kept in reserve."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestLimits:
-    """Bounds on callers' requests."""
+    """Limits on callers' requests."""
 
     header_bytes: int = 16 * 1024
-    """Size of the headers of one request."""
+    """Maximum size of the headers of one request, in bytes."""
 
     body_bytes: int = 256 * 1024
-    """Size of the body of one request."""
+    """Maximum size of the body of one request, in bytes."""
 
     idle_timeout_s: float = 15.0
     """Time after which an unused connection is closed, in seconds."""
@@ -219,28 +219,31 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutingTable:
-    """One version of the configuration that operators publish."""
+    """One version of the routing configuration that operators publish."""
 
     version: int
-    """Rises with each change, in uneven steps."""
+    """Version number; increases with each change, not always by one."""
 
     routes: tuple[Route, ...] = ()
-    """Every queue."""
+    """All routes."""
 
     services_by_name: Mapping[str, Service] = field(default_factory=dict)
-    """Every pool of targets."""
+    """All services, by name."""
 
     limits: RequestLimits = field(default_factory=RequestLimits)
-    """Bounds on callers' requests."""
+    """Limits on callers' requests."""
 
     document: bytes = b""
-    """The version as it was published, to hand it on unchanged."""
+    """The configuration as published, to forward it unchanged."""
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request: its host, then the longest prefix.
+        """Return the route with the longest matching prefix for a host.
+
+        Routes with an empty host match every host.
 
         :param host: host name without a port.
         :param path: path of the request.
+        :returns: the route; None if no route matches.
         """
         best: Route | None = None
         for route in self.routes:
@@ -253,153 +256,153 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetReport:
-    """What a target publishes of itself."""
+    """State that a target publishes about itself."""
 
     target_id: str
-    """Names one life of the target's process."""
+    """Id of one incarnation of the target's process."""
 
     address: str
-    """Where it listens, ``host:port``."""
+    """Address that the target listens on, ``host:port``."""
 
     service: str
-    """Service that it belongs to."""
+    """Name of the service that the target belongs to."""
 
     failure_domain: str
-    """Where it runs."""
+    """Failure domain that the target runs in."""
 
     capacity: Resources
-    """What its worker has for tasks."""
+    """Resources that the worker has for tasks."""
 
     labels: frozenset[str] = frozenset()
-    """The worker's kind and its rack."""
+    """Labels of the worker: its kind and its rack."""
 
     leaving: bool = False
-    """Whether it finishes what it runs and takes nothing new."""
+    """Whether the target drains: it finishes its runs and accepts no new ones."""
 
     remaining_s: float = 0.0
-    """While leaving: the least time until it is gone, in seconds."""
+    """While leaving: minimum time until the target is gone, in seconds."""
 
     slow_start_s: float = 0.0
-    """How much longer it works slowly after its start, in seconds."""
+    """Remaining time after its start in which the target runs slower, in seconds."""
 
     sequence: int = field(default=0, compare=False)
-    """Rises with each report of one life; tells an older one that comes later."""
+    """Increases with each report of one incarnation; identifies late, older reports."""
 
 
 class RunEnd(Enum):
     """How a run ended."""
 
     DONE = auto()
-    """It finished its work."""
+    """The run finished its work."""
 
     FAILED = auto()
-    """Through its own fault or the target's."""
+    """The run failed through a fault of its own or of the target."""
 
     STOPPED = auto()
-    """It was told to."""
+    """The run was ordered to stop."""
 
     LEASE_EXPIRED = auto()
-    """Nobody renewed the lease."""
+    """The lease was not renewed in time."""
 
     PEER_ENDED = auto()
     """Another member of its gang ended."""
 
     NO_PEERS = auto()
-    """It waited for the rest of its gang in vain."""
+    """The run waited for the rest of its gang, which did not start in time."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunningTask:
-    """A run that a target lists as under way."""
+    """A run that a target lists as running."""
 
     ref: TaskRef
-    """Which task."""
+    """Task that the run belongs to."""
 
     run: int
-    """Number of the start."""
+    """Run number; increases with each start of the task."""
 
     checkpoint: str
-    """Progress that it saved; empty: none."""
+    """Progress that the run saved; empty: none."""
 
     percent: int
-    """Share of its work that is done, 0 to 100."""
+    """Completed share of the work, 0 to 100."""
 
     recent_load: float = 0.0
-    """Over the last half second: tail latency in milliseconds of a task that serves
-    users, processor use in thousandths of a core of any other."""
+    """Load over the last half second: for a task that serves users, its tail latency in
+    milliseconds; for any other, its CPU use in thousandths of a core."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndedRun:
-    """A run that a target lists as over."""
+    """A run that a target lists as ended."""
 
     sequence: int
-    """Rises by one with each end in one life of the target, from 1."""
+    """Number of the end within one incarnation of the target, from 1 in steps of 1."""
 
     ref: TaskRef
-    """Which task."""
+    """Task that the run belongs to."""
 
     run: int
-    """Number of the start."""
+    """Run number; increases with each start of the task."""
 
     end: RunEnd
-    """How it ended."""
+    """How the run ended."""
 
     checkpoint: str = ""
-    """Progress that it saved; empty: none."""
+    """Progress that the run saved; empty: none."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseReport:
-    """Answer of a target to the renewal of its lease."""
+    """A target's answer to a lease renewal."""
 
     clock_ms: int
-    """The target's own steady clock, in milliseconds."""
+    """Reading of the target's monotonic clock, in milliseconds."""
 
     running: tuple[RunningTask, ...]
-    """Everything that runs there."""
+    """All runs in progress on the target."""
 
     ended: tuple[EndedRun, ...]
-    """Ends that were not acknowledged yet, in order."""
+    """Ended runs that are not acknowledged yet, by sequence number."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Ticket:
-    """Leave to start a group's tasks on one target."""
+    """Permission to start the tasks of a group on one target."""
 
     target_id: str
-    """The target."""
+    """Id of the target."""
 
     value: str
-    """Passed on with each start there."""
+    """Opaque value that is sent with each start on that target."""
 
 
 class StartAnswer(Enum):
-    """What a target said to a start."""
+    """A target's answer to an order to start a run."""
 
     STARTED = auto()
-    """It runs, or the same run already did."""
+    """The run started, or the same run had already started."""
 
     SUPERSEDED = auto()
-    """A later leader gives the orders there."""
+    """The target takes orders from a later leader."""
 
     OUTDATED = auto()
-    """The same task had this run or a later one there already."""
+    """The target already had this run or a later run of the same task."""
 
     LATE = auto()
-    """The time until which it could begin was over."""
+    """The order arrived after the latest time at which the run could start."""
 
     NO_ROOM = auto()
-    """Its resources are not free there."""
+    """The target does not have enough free resources."""
 
     NO_TICKET = auto()
-    """The group may not run there, or its leave ran out."""
+    """The group may not run on the target, or its ticket expired."""
 
     UNHEALTHY = auto()
     """The target refuses work; nothing was done."""
 
     OTHER_LIFE = auto()
-    """Another life of the target answered at this address."""
+    """Another incarnation of the target answered at this address."""
 
     INVALID = auto()
     """The order was malformed."""
@@ -408,4 +411,4 @@
     """The connection was refused, so the order was not taken."""
 
     UNKNOWN = auto()
-    """No answer came: it may run, now or later."""
+    """No answer came: the run may have started or may still start."""
--- a/src/cassiaturn/entities/tests/test_schema.py
+++ b/src/cassiaturn/entities/tests/test_schema.py
@@ -9,7 +9,7 @@
 REGISTRE = Path(str(files("cassiaturn_examples") / "registre" / "register.binpb"))
 
 
-def test_declared_options_are_read() -> None:
+def test_load_reads_declared_options() -> None:
     schema = Schema.load([KWABENA, REGISTRE]).unwrap()
     order = schema.methods_by_name["kwabena.v1.Props/OrderDeck"]
     assert not order.repeatable
@@ -18,7 +18,8 @@
     assert len(schema.methods_by_name) == 6
 
 
-def test_every_unusable_file_is_named(tmp_path: Path) -> None:
+def test_load_reports_every_unusable_file(tmp_path: Path) -> None:
+    """One unreadable file must not hide the problems of the files after it."""
     garbage = tmp_path / "garbage.binpb"
     garbage.write_bytes(b"\xff\xff\xff")
     missing = tmp_path / "missing.binpb"
@@ -26,4 +27,4 @@
         case Failure(errors):
             assert [error.source for error in errors] == [str(garbage), str(missing)]
         case Success(_):
-            raise AssertionError("garbage was taken for a schema")
+            raise AssertionError("Schema.load accepted unusable files")
